--- a/components/forward/src/gossip.rs
+++ b/components/forward/src/gossip.rs
@@ -278,7 +278,7 @@
 
 /// Requests that this node sends to engines in ten seconds, by rank.
 fn own_sends<S: Site>(state: &State<S>) -> Vec<u32> {
-    by_rank(&state.turns.scheduler.borrow().sends(state.clock.now()), RATE_SECONDS)
+    by_rank(&state.turns.scheduler.borrow().send_rates(state.clock.now()), RATE_SECONDS)
 }
 
 /// Amounts by rank in a smaller unit; ranks at the end that have none are left out.
@@ -291,7 +291,7 @@
 
 /// Parts of prompts that this node saw engines keep, that others haven't heard of.
 fn own_parts<S: Site>(state: &State<S>) -> Vec<(u32, u64)> {
-    let updates = state.turns.scheduler.borrow_mut().cached(state.clock.now());
+    let updates = state.turns.scheduler.borrow_mut().cache_updates(state.clock.now());
     let names = state.names.borrow();
     let row = |cached: Cached| Some((wire::key(&names.server(cached.server)?.name), cached.part));
     updates.into_iter().filter_map(row).collect()
@@ -302,7 +302,7 @@
     let names = state.names.borrow();
     let cached = |row: &(u32, u64)| Some(Cached { server: names.keyed(row.0)?, part: row.1 });
     let reported = parts.iter().filter_map(cached);
-    state.turns.scheduler.borrow_mut().set_cached(reported, state.clock.now());
+    state.turns.scheduler.borrow_mut().apply_cache_updates(reported, state.clock.now());
 }
 
 /// Takes in what all other nodes' requests take of engines, and how many they send.
@@ -322,5 +322,5 @@
     let sends: Vec<_> = sends.iter().map(|sends| f64::from(*sends) / RATE_SECONDS).collect();
     let (mut scheduler, now) = (state.turns.scheduler.borrow_mut(), state.clock.now());
     scheduler.set_backlogs(&backlogs, now);
-    scheduler.set_sends(&sends, now);
+    scheduler.set_peer_send_rates(&sends, now);
 }
--- a/components/policy/src/admit.rs
+++ b/components/policy/src/admit.rs
@@ -249,7 +249,7 @@
         let held = &self.jobs[job];
         let wait = self.forecast(held, None, now);
         let useful = held.last_call.saturating_duration_since(held.request.arrived);
-        let spread = crate::pick::mix(slotmap::Key::data(&job).as_ffi()) as f64 / u64::MAX as f64;
+        let spread = crate::pick::mix64(slotmap::Key::data(&job).as_ffi()) as f64 / u64::MAX as f64;
         forecast::again(wait, useful.as_secs_f64() / 2.0, spread)
     }
 
--- a/components/policy/src/attempt.rs
+++ b/components/policy/src/attempt.rs
@@ -70,16 +70,16 @@
     /// Takes the place of an ended attempt back and puts its charge right.
     fn release(&mut self, job: ids::Job, server: ids::Server, ending: Ending, now: Instant) {
         let jitter = self.rng.random();
-        let hung = ending == Ending::Cancelled && self.hung(&self.jobs[job], server, now);
+        let hung = ending == Ending::Cancelled && self.stalled(&self.jobs[job], server, now);
         let held = &mut self.jobs[job];
         let (urgency, reading) = (held.urgency, std::mem::take(&mut held.reading));
         if let Some(known) = self.servers.get_mut(server) {
-            known.end(job, urgency, now);
+            known.record_end(job, urgency, now);
             if hung {
                 known.health.ended(false, now);
                 known.health.hung(self.jobs[job].sent_at, now, jitter);
             }
-            known.reading.over(urgency, reading);
+            known.prefill.prompt_done(urgency, reading);
             if !matches!(ending, Ending::Cancelled | Ending::Stopped) {
                 known.health.ended(ending == Ending::Whole, now);
             }
--- a/components/policy/src/backlog.rs
+++ b/components/policy/src/backlog.rs
@@ -6,7 +6,7 @@
 
 use std::time::{Duration, Instant};
 
-use crate::reading::Others;
+use crate::prefill::Peers;
 use crate::scheduler::Scheduler;
 use crate::terms::{Backlog, Cached};
 
@@ -32,10 +32,10 @@
         let engines = self.servers.iter().filter(|(_, known)| known.terms.reads.is_some());
         let told = engines.map(|(server, known)| Backlog {
             server,
-            reading: known.reading.own().to_vec(),
+            reading: known.prefill.own().to_vec(),
             overdue: self.overdue_here(known, now).to_vec(),
             taken: known.taken.to_vec(),
-            begun: known.reading.begun_here().map(|begun| now.saturating_duration_since(begun)),
+            begun: known.prefill.begun_here().map(|begun| now.saturating_duration_since(begun)),
         });
         told.filter(worth_telling).collect()
     }
@@ -44,30 +44,34 @@
     /// Those that aren't named have nothing to speak of.
     pub fn set_backlogs(&mut self, others: &[Backlog], now: Instant) {
         for known in self.servers.values_mut().filter(|known| known.terms.reads.is_some()) {
-            known.reading.received(Others::default(), now);
+            known.prefill.received(Peers::default(), now);
         }
         for told in others {
             let Some(known) = self.servers.get_mut(told.server) else { continue };
-            let others = Others {
+            let others = Peers {
                 work: told.reading.as_slice().into(),
                 overdue: told.overdue.as_slice().into(),
                 taken: told.taken.as_slice().into(),
                 begun: told.begun.and_then(|age| now.checked_sub(age)),
             };
-            known.reading.received(others, now);
+            known.prefill.received(others, now);
         }
     }
 
     /// What engines keep that others had better hear of.
-    pub fn cached(&mut self, now: Instant) -> Vec<Cached> {
+    pub fn cache_updates(&mut self, now: Instant) -> Vec<Cached> {
         self.prefixes.updates(now)
     }
 
     /// Takes in what others saw that engines keep.
-    pub fn set_cached(&mut self, received: impl IntoIterator<Item = Cached>, now: Instant) {
+    pub fn apply_cache_updates(
+        &mut self,
+        received: impl IntoIterator<Item = Cached>,
+        now: Instant,
+    ) {
         for cached in received {
             if self.servers.contains_key(cached.server) {
-                self.prefixes.received(cached, now);
+                self.prefixes.apply_update(cached, now);
             }
         }
     }
--- a/components/policy/src/belief.rs
+++ b/components/policy/src/belief.rs
@@ -72,19 +72,19 @@
             Some(Unused::Leaving)
         } else if self.ejected(server, now) {
             Some(Unused::Ejected)
-        } else if !known.free(self.without) {
+        } else if !known.has_free_slot(self.without) {
             Some(Unused::Full)
-        } else if usual.is_some_and(|usual| known.interval() > usual * STRAGGLER) {
+        } else if usual.is_some_and(|usual| known.token_interval() > usual * STRAGGLER) {
             Some(Unused::Straggling)
         } else {
             None
         };
         Some(Belief {
             sent: known.sent,
-            places: known.places(self.without),
+            places: known.node_slots(self.without),
             load: known.load(now, self.without),
-            interval: Duration::from_secs_f64(known.interval()),
-            age: known.age(now),
+            interval: Duration::from_secs_f64(known.token_interval()),
+            age: known.report_age(now),
             unused,
         })
     }
--- a/components/policy/src/cache.rs
+++ b/components/policy/src/cache.rs
@@ -45,7 +45,7 @@
 
 impl Index {
     /// A request was sent to an engine, which will cache the parts that it shares with others.
-    pub(crate) fn sent(&mut self, request: &Request, server: ids::Server, now: Instant) {
+    pub(crate) fn record_send(&mut self, request: &Request, server: ids::Server, now: Instant) {
         self.sweep(now);
         for part in &request.shared {
             self.entry(part.id, server, now).used = now;
@@ -53,7 +53,7 @@
     }
 
     /// An engine has begun to answer a request, so it has read its prompt.
-    pub(crate) fn begun(&mut self, request: &Request, server: ids::Server, now: Instant) {
+    pub(crate) fn record_prefill(&mut self, request: &Request, server: ids::Server, now: Instant) {
         for part in &request.shared {
             let entry = self.entry(part.id, server, now);
             (entry.read, entry.used) = (true, now);
@@ -67,7 +67,7 @@
     }
 
     /// Another node reported that an engine caches a part.
-    pub(crate) fn received(&mut self, cached: Cached, now: Instant) {
+    pub(crate) fn apply_update(&mut self, cached: Cached, now: Instant) {
         let entry = self.entry(cached.part, cached.server, now);
         (entry.read, entry.used, entry.reported) = (true, now, Some(now));
     }
@@ -86,7 +86,7 @@
     }
 
     /// An engine is gone, or has lost all that it kept.
-    pub(crate) fn forget(&mut self, server: ids::Server) {
+    pub(crate) fn remove_server(&mut self, server: ids::Server) {
         for holders in self.parts.values_mut() {
             holders.retain(|holder| holder.server != server);
         }
--- a/components/policy/src/cache/tests.rs
+++ b/components/policy/src/cache/tests.rs
@@ -33,11 +33,11 @@
 fn what_was_only_sent_is_followed_and_not_taken_over() {
     let (mut index, now, [one, two]) = (Index::default(), Instant::now(), servers());
     let request = request();
-    index.sent(&request, one, now);
+    index.record_send(&request, one, now);
     assert_eq!(index.kept(&request.shared, one, now), 6_400);
     assert_eq!(index.kept(&request.shared, two, now), 0);
     assert_eq!(index.sources(&request.shared, now).count(), 0);
-    index.begun(&request, one, now);
+    index.record_prefill(&request, one, now);
     assert_eq!(index.sources(&request.shared, now).collect::<Vec<_>>(), [one]);
 }
 
@@ -47,10 +47,10 @@
 fn what_was_not_used_for_long_is_not_relied_on() {
     let (mut index, now, [one, _]) = (Index::default(), Instant::now(), servers());
     let request = request();
-    index.sent(&request, one, now);
-    index.begun(&request, one, now);
+    index.record_send(&request, one, now);
+    index.record_prefill(&request, one, now);
     assert_eq!(index.kept(&request.shared, one, now + KEEPS), 0);
-    index.sent(&request, one, now + KEEPS);
+    index.record_send(&request, one, now + KEEPS);
     assert_eq!(index.sources(&request.shared, now + KEEPS).count(), 0);
 }
 
@@ -60,9 +60,9 @@
     let (mut index, now, [one, two]) = (Index::default(), Instant::now(), servers());
     let request = request();
     for server in [one, two] {
-        index.begun(&request, server, now);
+        index.record_prefill(&request, server, now);
     }
-    index.forget(one);
+    index.remove_server(one);
     assert_eq!(index.kept(&request.shared, one, now), 0);
     assert_eq!(index.sources(&request.shared, now).collect::<Vec<_>>(), [two]);
 }
@@ -74,13 +74,13 @@
     let (mut index, now, [one, _]) = (Index::default(), Instant::now(), servers());
     let request = request();
     for n in 0..100 {
-        index.begun(&request, one, now + Duration::from_millis(n));
+        index.record_prefill(&request, one, now + Duration::from_millis(n));
     }
     let news = Cached { server: one, part: LONG };
     assert_eq!(index.updates(now + Duration::from_millis(100)), [news]);
     assert!(index.updates(now + REPORTED_FOR).is_empty());
-    index.received(news, now + REPEATED);
-    index.begun(&request, one, now + REPEATED + Duration::from_millis(1));
+    index.apply_update(news, now + REPEATED);
+    index.record_prefill(&request, one, now + REPEATED + Duration::from_millis(1));
     assert!(index.updates(now + REPEATED + Duration::from_millis(2)).is_empty());
 }
 
@@ -89,7 +89,7 @@
 fn news_that_nobody_asks_for_is_dropped() {
     let (mut index, now, [one, _]) = (Index::default(), Instant::now(), servers());
     for n in 0..100 {
-        index.begun(&request(), one, now + REPEATED * n);
+        index.record_prefill(&request(), one, now + REPEATED * n);
     }
     assert_eq!(index.updates.len(), 1);
 }
--- a/components/policy/src/dispatch.rs
+++ b/components/policy/src/dispatch.rs
@@ -15,7 +15,7 @@
 use crate::pick::{self, Candidate};
 use crate::pool::{Key, Line};
 use crate::scheduler::Scheduler;
-use crate::server::{self, FIRST, INTERVAL};
+use crate::server::{self, DEFAULT_FIRST_TOKEN_SECONDS, DEFAULT_TOKEN_SECONDS};
 
 /// How often forecasts and what depends on time alone are looked at while requests wait: well under
 /// every first-token target, and a tenth of the time between reports.
@@ -86,7 +86,7 @@
         for member in &pool.members {
             *engines.entry(member.region).or_insert(0) += 1;
         }
-        pool.isolation.measure(&engines, now);
+        pool.isolation.update_borders(&engines, now);
     }
 
     /// Measures what a pool can do.
@@ -100,15 +100,15 @@
                 continue;
             }
             let shared = users.iter().filter(|user| self.pools[**user].servers.contains(server));
-            let places = f64::from(known.places(self.without));
-            rate += places / known.interval() / shared.count() as f64;
-            intervals.push(known.interval());
-            firsts.extend(known.first());
+            let places = f64::from(known.node_slots(self.without));
+            rate += places / known.token_interval() / shared.count() as f64;
+            intervals.push(known.token_interval());
+            firsts.extend(known.first_token_time());
         }
         let pool = &mut self.pools[key];
         pool.rate = rate;
-        pool.interval = median(&mut intervals).unwrap_or(INTERVAL);
-        pool.first = median(&mut firsts).unwrap_or(FIRST);
+        pool.interval = median(&mut intervals).unwrap_or(DEFAULT_TOKEN_SECONDS);
+        pool.first = median(&mut firsts).unwrap_or(DEFAULT_FIRST_TOKEN_SECONDS);
     }
 
     /// Gives up what can't be served in time, from the end of each line.
@@ -203,12 +203,12 @@
         if !self.staffed(self.jobs[job].pool) {
             return Choice::Nobody;
         }
-        if self.reads(&self.jobs[job]) {
-            let (chosen, free) = self.engine(&self.jobs[job], now);
+        if self.prefill_rates_known(&self.jobs[job]) {
+            let (chosen, free) = self.select_engine(&self.jobs[job], now);
             let Some(chosen) = chosen else {
                 return if free { Choice::Busy } else { Choice::Full };
             };
-            self.engaged(job, chosen, now);
+            self.record_engine_send(job, chosen, now);
             return Choice::Server(chosen.server);
         }
         let mut candidates = std::mem::take(&mut self.scratch);
@@ -241,27 +241,29 @@
         let (mut near, mut far, mut free) = (false, 0, false);
         for key in &pool.servers {
             let known = &self.servers[*key];
-            if !known.permitted(now) {
+            if !known.has_permit(now) {
                 continue;
             }
             let here = known.terms.region == held.request.region;
             near |= here && !known.leaving() && !self.ejected(*key, now);
-            let place = known.free(self.without);
+            let place = known.has_free_slot(self.without);
             free |= place;
-            let beyond = !place && urgent && known.roomy(now, self.without);
+            let beyond = !place && urgent && known.has_spare_slots(now, self.without);
             if !place && !beyond {
                 continue;
             }
             if !self.takes(known, held, overdue) || (!panic && self.barred(*key, now)) {
                 continue;
             }
-            let interval = known.interval();
+            let interval = known.token_interval();
             let straggles = interval > pool.interval * STRAGGLER;
             let tokens = if straggles { safe } else { rest };
             let load = known.load(now, self.without);
             let over = (load + 1.0 - f64::from(known.slots())).max(0.0);
             let queue = over * pool.service(USUAL) / f64::from(known.slots().max(1));
-            let time = queue + known.first().unwrap_or(pool.first) + interval * f64::from(tokens);
+            let time = queue
+                + known.first_token_time().unwrap_or(pool.first)
+                + interval * f64::from(tokens);
             if time > left && !overdue && self.without.has(Mechanism::Fit) {
                 continue;
             }
@@ -269,7 +271,7 @@
             let hangs = if known.terms.reads.is_some() || !self.without.has(Mechanism::Ejection) {
                 0.0
             } else {
-                self.hangs(known, now)
+                self.longest_own_overdue(known, now)
             };
             let time = time * (1.0 + self.faults(known, now) * FAULTY) + hangs;
             let candidate = Candidate { server: *key, salt: known.terms.salt, load, time };
@@ -297,7 +299,8 @@
 
     /// Whether a server takes requests of this tier now.
     fn takes(&self, known: &server::State, held: &Held, overdue: bool) -> bool {
-        let awaited = known.awaited(self.without).is_some_and(|waiting| waiting < held.tier);
+        let awaited =
+            known.peer_waiting_tier(self.without).is_some_and(|waiting| waiting < held.tier);
         !known.leaving() && (!awaited || overdue)
     }
 
@@ -315,7 +318,8 @@
 
     pub(crate) fn ejected(&self, server: ids::Server, now: Instant) -> bool {
         let known = &self.servers[server];
-        self.without.has(Mechanism::Ejection) && (known.health.ejected(now) || known.silent(now))
+        self.without.has(Mechanism::Ejection)
+            && (known.health.ejected(now) || known.reports_stopped(now))
     }
 
     pub(crate) fn barred(&self, server: ids::Server, now: Instant) -> bool {
@@ -347,7 +351,7 @@
         let more = i64::from(charge) - i64::from(held.charged);
         held.charged = charge;
         let far = self.servers[server].terms.region != held.request.region;
-        self.servers[server].send(job, urgency, now);
+        self.servers[server].record_send(job, urgency, now);
         let lane = self.lane(workspace);
         let counter = self.fair.workspace(class, lane);
         let line = self.pools[pool].line(tier, class);
--- a/components/policy/src/engines.rs
+++ b/components/policy/src/engines.rs
@@ -11,15 +11,15 @@
 
 use std::time::{Duration, Instant};
 
-use crate::copies::{Copies, Prefill};
 use crate::held::{Expected, Held};
 use crate::isolation::Group;
 use crate::mechanism::Mechanism;
-use crate::pick::mix;
-use crate::places::Unreported;
+use crate::pick::mix64;
 use crate::pool::Member;
+use crate::prefix::{Copies, Cost};
 use crate::scheduler::Scheduler;
 use crate::server;
+use crate::slots::Unreported;
 
 /// Part of the first-token target that a request may wait at its preferred engine.
 pub(crate) const EASE: f64 = 0.5;
@@ -83,7 +83,7 @@
 
 impl Scheduler {
     /// Whether it is known how fast the servers of a request read.
-    pub(crate) fn reads(&self, held: &Held) -> bool {
+    pub(crate) fn prefill_rates_known(&self, held: &Held) -> bool {
         let servers = &self.pools[held.pool].servers;
         self.without.has(Mechanism::Reading)
             && servers.iter().any(|key| self.servers[*key].terms.reads.is_some())
@@ -91,10 +91,10 @@
 
     /// The engine for a request; none if none may take it now. The second part tells whether any had
     /// a place.
-    pub(crate) fn engine(&self, held: &Held, now: Instant) -> (Option<Chosen>, bool) {
+    pub(crate) fn select_engine(&self, held: &Held, now: Instant) -> (Option<Chosen>, bool) {
         let pool = &self.pools[held.pool];
         let grouped = self.without.has(Mechanism::Groups);
-        let group = pool.isolation.group(self.pause(held)).filter(|_| grouped);
+        let group = pool.isolation.class_group(self.pause(held)).filter(|_| grouped);
         let homes = self.homes(held, group, now);
         let copies = self.copies(held, homes, now);
         let unreported = self.unreported(held, group, now);
@@ -132,7 +132,7 @@
     fn usable(&self, held: &Held, member: &Member, now: Instant) -> bool {
         let known = &self.servers[member.server];
         let avoided = held.avoid == Some(member.server) && self.pools[held.pool].members.len() > 1;
-        let room = known.free(self.without) && known.permitted(now);
+        let room = known.has_free_slot(self.without) && known.has_permit(now);
         room && !known.leaving() && !avoided
     }
 
@@ -150,9 +150,10 @@
             let dear = known.terms.reads.is_some_and(|reads| shared / f64::from(reads) > FAR);
             let crosses = dear && self.crosses;
             let near = crosses || known.terms.region == held.request.region;
-            let own = group
-                .is_none_or(|group| pool.isolation.engine(member.region, member.rank) == group);
-            (near, own, mix(held.request.prefix ^ known.terms.salt))
+            let own = group.is_none_or(|group| {
+                pool.isolation.engine_group(member.region, member.rank) == group
+            });
+            (near, own, mix64(held.request.prefix ^ known.terms.salt))
         };
         let members = pool.members.iter();
         let able = members.filter(|member| {
@@ -184,25 +185,25 @@
         let known = &self.servers[member.server];
         let request = &held.request;
         let home = copies.homes[0] == Some(member.server);
-        let Prefill { reading, cold, copying, shared, fetch } =
+        let Cost { reading, cold, copying, shared, fetch } =
             self.prefill(held, member.server, copies, now)?;
         let overdue = self.held_up(known, held.urgency, now);
         let place = self.place_wait(held, known, unreported, now);
-        let backlog = known.reading.backlog(held.urgency, now).max(overdue).max(place);
+        let backlog = known.prefill.backlog(held.urgency, now).max(overdue).max(place);
         let target = self.classes.get(request.class).map_or(1.0, |c| c.first_token.as_secs_f64());
         let waited = now.saturating_duration_since(request.arrived).as_secs_f64();
-        let first = waited + backlog + reading + cold + known.reading.least();
+        let first = waited + backlog + reading + cold + known.prefill.least();
         let ease = if shared > FAR { STAYS } else { EASE };
         let late = (first - target * ease).max(0.0) * LATE;
         let far = self.far(held, known, shared);
-        let engines = self.pools[held.pool].isolation.engine(member.region, member.rank);
+        let engines = self.pools[held.pool].isolation.engine_group(member.region, member.rank);
         let strange = strange(group, engines, reading, backlog);
         let steady = group.is_some_and(|group| group < Group::Bulk);
         let stutter = if steady { backlog } else { 0.0 };
         let crowd = f64::from(known.sent) * CROWD;
         let faulty = self.faults(known, now) * FAILS;
         let strays = if home || shared > FAR { 0.0 } else { STRAYS };
-        let busy = known.reading.ahead(u8::MAX, now) * BUSY;
+        let busy = known.prefill.ahead(u8::MAX, now) * BUSY;
         let cost =
             reading + copying + busy + late + far + strange + stutter + crowd + faulty + strays;
         let reading = reading + cold;
@@ -220,13 +221,13 @@
     }
 
     /// Counts what a request that was sent costs its engine, for the sizes of the groups.
-    pub(crate) fn engaged(&mut self, job: ids::Job, chosen: Chosen, now: Instant) {
+    pub(crate) fn record_engine_send(&mut self, job: ids::Job, chosen: Chosen, now: Instant) {
         let Chosen { server, reading, backlog, overdue, home, fetch, .. } = chosen;
         let held = &mut self.jobs[job];
         let known = &mut self.servers[server];
         held.reading = reading;
-        held.ahead = known.reading.ahead(held.urgency, now);
-        self.prefixes.sent(&held.request, server, now);
+        held.ahead = known.prefill.ahead(held.urgency, now);
+        self.prefixes.record_send(&held.request, server, now);
         held.expected = Some(Expected {
             home,
             reading: Duration::from_secs_f64(reading),
@@ -235,14 +236,14 @@
             overdue: Duration::from_secs_f64(overdue),
             fetch,
         });
-        known.reading.sent(held.urgency, reading);
+        known.prefill.sent(held.urgency, reading);
         self.rate.add(held.urgency, now);
         let tokens = f64::from(held.tokens);
         let batch = BATCH.min(f64::from(known.slots()) * TAKEN).max(1.0);
-        let seconds = reading + tokens * known.interval() / batch;
+        let seconds = reading + tokens * known.token_interval() / batch;
         let pause = self.pause(&self.jobs[job]);
         let pool = self.jobs[job].pool;
-        self.pools[pool].isolation.add(pause, seconds, now);
+        self.pools[pool].isolation.add_work(pause, seconds, now);
     }
 }
 
--- a/components/policy/src/isolation.rs
+++ b/components/policy/src/isolation.rs
@@ -87,7 +87,7 @@
     /// What is left of the work that is taken for granted, by group.
     prior: [f64; GROUPS],
     faded: Option<Instant>,
-    /// Work of all nodes, as [`Isolation::seconds`] of each, and when it was received.
+    /// Work of all nodes, as [`Isolation::recent_seconds`] of each, and when it was received.
     fleet: Option<([f64; GROUPS], Instant)>,
     /// Both steady classes and others had work of late.
     unlike: bool,
@@ -137,7 +137,7 @@
     }
 
     /// Counts work of a request that bears so long between tokens.
-    pub(crate) fn add(&mut self, bears: Duration, seconds: f64, now: Instant) {
+    pub(crate) fn add_work(&mut self, bears: Duration, seconds: f64, now: Instant) {
         self.fade(now);
         self.seen(bears, now);
         self.work[self.group_of(bears) as usize] += seconds;
@@ -152,18 +152,18 @@
     }
 
     /// Engine time of late by group, in seconds.
-    pub(crate) fn seconds(&self) -> [f64; GROUPS] {
+    pub(crate) fn recent_seconds(&self) -> [f64; GROUPS] {
         self.work
     }
 
     /// Whether there was work of late that the groups follow.
-    pub(crate) fn worked(&self, now: Instant) -> bool {
+    pub(crate) fn recently_active(&self, now: Instant) -> bool {
         self.faded.is_some_and(|last| now < last + HALF * FORGOTTEN)
     }
 
     /// Takes in the work of all nodes: what one node sees of hundreds varies, and with it the borders,
     /// which are worth most where all nodes draw them alike.
-    pub(crate) fn set_fleet(&mut self, seconds: [f64; GROUPS], now: Instant) {
+    pub(crate) fn set_fleet_work(&mut self, seconds: [f64; GROUPS], now: Instant) {
         self.fleet = Some((seconds, now));
     }
 
@@ -171,7 +171,7 @@
     /// kind.
     fn parts(&self, now: Instant) -> Option<[f64; GROUPS - 1]> {
         let fleet = self.fleet.filter(|(_, received)| now < *received + RECEIVED);
-        let work = fleet.map_or_else(|| self.seconds(), |(seconds, _)| seconds);
+        let work = fleet.map_or_else(|| self.recent_seconds(), |(seconds, _)| seconds);
         let [strict, steady, bulk] = std::array::from_fn(|group| work[group] + self.prior[group]);
         let all = strict + steady + bulk;
         let known = [strict + steady, bulk].iter().all(|seconds| *seconds > NONE);
@@ -179,7 +179,7 @@
     }
 
     /// Works the groups out; `engines` counts those of each region.
-    pub(crate) fn measure(&mut self, engines: &HashMap<ids::Region, usize>, now: Instant) {
+    pub(crate) fn update_borders(&mut self, engines: &HashMap<ids::Region, usize>, now: Instant) {
         let parts = self.parts(now);
         self.unlike = parts.is_some();
         let Some([strict, steady]) = parts else { return };
@@ -205,12 +205,12 @@
     }
 
     /// The group of a request that bears so long between tokens; none while all are alike.
-    pub(crate) fn group(&self, bears: Duration) -> Option<Group> {
+    pub(crate) fn class_group(&self, bears: Duration) -> Option<Group> {
         self.unlike.then(|| self.group_of(bears))
     }
 
     /// The group of the engine with a rank among those of its region.
-    pub(crate) fn engine(&self, region: ids::Region, rank: usize) -> Group {
+    pub(crate) fn engine_group(&self, region: ids::Region, rank: usize) -> Group {
         let [strict, steady] = self.borders.get(&region).copied().unwrap_or_default();
         if rank < strict {
             return Group::Strict;
--- a/components/policy/src/pick.rs
+++ b/components/policy/src/pick.rs
@@ -66,13 +66,13 @@
 /// The server that has most likely cached the prompt's head, unless it is slow or loaded.
 fn home(candidates: &[Candidate], prefix: u64, near: f64) -> Option<ids::Server> {
     let mean = candidates.iter().map(|c| c.load).sum::<f64>() / candidates.len() as f64;
-    let home = candidates.iter().max_by_key(|candidate| mix(prefix ^ candidate.salt))?;
+    let home = candidates.iter().max_by_key(|candidate| mix64(prefix ^ candidate.salt))?;
     let bounded = home.load <= mean * BOUND + 0.1 && home.score() <= near * BOUND;
     bounded.then_some(home.server)
 }
 
 /// Spreads the bits of a number (the finaliser of splitmix64).
-pub(crate) fn mix(number: u64) -> u64 {
+pub(crate) fn mix64(number: u64) -> u64 {
     let number = (number ^ (number >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     let number = (number ^ (number >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
     number ^ (number >> 31)
--- a/components/policy/src/pool.rs
+++ b/components/policy/src/pool.rs
@@ -90,8 +90,8 @@
             full: 0,
             jobs: 0,
             rate: 0.0,
-            interval: crate::server::INTERVAL,
-            first: crate::server::FIRST,
+            interval: crate::server::DEFAULT_TOKEN_SECONDS,
+            first: crate::server::DEFAULT_FIRST_TOKEN_SECONDS,
         }
     }
 
--- a/components/policy/src/reading.rs
+++ b/components/policy/src/prefill.rs
@@ -7,7 +7,7 @@
 
 use std::time::{Duration, Instant};
 
-use crate::ranks::{RANKS, Ranked};
+use crate::priority::{PRIORITIES, PerPriority};
 
 /// Weight of a new wait in the running one: three in a row show a change.
 const WEIGHT: f64 = 0.3;
@@ -23,7 +23,7 @@
 
 /// A prompt whose first token came.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Begun {
+pub(crate) struct FirstToken {
     pub(crate) rank: u8,
     /// Seconds that it was taken to be read in.
     pub(crate) seconds: f64,
@@ -35,13 +35,13 @@
 
 /// What other nodes' prompts at one engine tell of it.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Others {
+pub(crate) struct Peers {
     /// What they take to read.
-    pub(crate) work: Ranked,
+    pub(crate) work: PerPriority,
     /// By how much one of them waits for longer than is usual.
-    pub(crate) overdue: Ranked,
+    pub(crate) overdue: PerPriority,
     /// Places that they take or wait for.
-    pub(crate) taken: Ranked,
+    pub(crate) taken: PerPriority,
     /// When the engine was last seen to begin an answer.
     pub(crate) begun: Option<Instant>,
 }
@@ -68,55 +68,55 @@
 
 /// What is known of one engine's reading. All times in seconds.
 #[derive(Debug, Default)]
-pub(crate) struct Reading {
+pub(crate) struct Estimator {
     /// What prompts that this node sent and that haven't begun to be answered take to read.
-    own: Ranked,
+    own: PerPriority,
     /// The same of other nodes' prompts.
-    others: Option<(Others, Instant)>,
+    others: Option<(Peers, Instant)>,
     /// When another node last saw it begin an answer.
     begun_elsewhere: Option<Instant>,
     /// Times to a first token beyond what was expected, as seen last, by rank of the prompt.
-    waits: [Wait; RANKS],
+    waits: [Wait; PRIORITIES],
     seen: Option<Instant>,
     /// Least time from a send to a first token beyond the prompt's own reading.
     least: Option<f64>,
 }
 
-impl Reading {
+impl Estimator {
     /// A prompt was sent that takes so long to read.
     pub(crate) fn sent(&mut self, rank: u8, seconds: f64) {
         self.own.add(rank, seconds);
     }
 
     /// A prompt that was sent isn't read any more.
-    pub(crate) fn over(&mut self, rank: u8, seconds: f64) {
+    pub(crate) fn prompt_done(&mut self, rank: u8, seconds: f64) {
         self.own.add(rank, -seconds);
     }
 
     /// Prompts of this node that are being read or wait to be.
-    pub(crate) fn own(&self) -> Ranked {
+    pub(crate) fn own(&self) -> PerPriority {
         self.own
     }
 
     /// Takes in what other nodes' prompts tell.
-    pub(crate) fn received(&mut self, others: Others, now: Instant) {
+    pub(crate) fn received(&mut self, others: Peers, now: Instant) {
         self.begun_elsewhere = self.begun_elsewhere.max(others.begun);
         self.others = Some((others, now));
     }
 
-    fn others(&self, now: Instant) -> Option<Others> {
+    fn others(&self, now: Instant) -> Option<Peers> {
         self.others.filter(|(_, received)| now < *received + REPORTS).map(|(others, _)| others)
     }
 
     /// Seconds by which a prompt of another node waits for longer than is usual that is as urgent as `rank`,
     /// or more.
     pub(crate) fn overdue(&self, rank: u8, now: Instant) -> f64 {
-        self.others(now).map_or(0.0, |others| others.overdue.most_to(rank))
+        self.others(now).map_or(0.0, |others| others.overdue.max_up_to(rank))
     }
 
     /// Places that other nodes' requests take which are as urgent as `rank`, or more.
     pub(crate) fn taken(&self, rank: u8, now: Instant) -> f64 {
-        self.others(now).map_or(0.0, |others| others.taken.sum_to(rank))
+        self.others(now).map_or(0.0, |others| others.taken.sum_up_to(rank))
     }
 
     /// When it last began to answer anything, as far as any node has told.
@@ -126,14 +126,14 @@
 
     /// A prompt's first token came so long after it was sent, when so much was known to be read
     /// before it.
-    pub(crate) fn begun(&mut self, prompt: Begun, now: Instant) {
-        let Begun { rank, seconds, ahead, took } = prompt;
-        self.over(rank, seconds);
+    pub(crate) fn record_first_token(&mut self, prompt: FirstToken, now: Instant) {
+        let FirstToken { rank, seconds, ahead, took } = prompt;
+        self.prompt_done(rank, seconds);
         let rest = (took - seconds).max(0.0);
         let least = self.least.map_or(rest, |least| (least * (1.0 + RISE)).min(rest));
         self.least = Some(least);
         let beyond = (rest - least - ahead).max(0.0);
-        self.waits[usize::from(rank).min(RANKS - 1)].add(beyond, now);
+        self.waits[usize::from(rank).min(PRIORITIES - 1)].add(beyond, now);
         self.seen = Some(now);
     }
 
@@ -151,7 +151,8 @@
 
     /// Time that prompts take which are read before one of a rank sent now, as far as is known.
     pub(crate) fn ahead(&self, rank: u8, now: Instant) -> f64 {
-        self.own.sum_to(rank) + self.others(now).map_or(0.0, |others| others.work.sum_to(rank))
+        self.own.sum_up_to(rank)
+            + self.others(now).map_or(0.0, |others| others.work.sum_up_to(rank))
     }
 
     /// Time until a prompt of a rank sent now begins to be read.
--- a/components/policy/src/reading/tests.rs
+++ b/components/policy/src/prefill/tests.rs
@@ -1,15 +1,15 @@
 use std::time::{Duration, Instant};
 
-use super::{Begun, Others, Reading};
+use super::{Estimator, FirstToken, Peers};
 
 /// A long prompt is sent to an engine and one more would wait behind it. Counted as one request, the
 /// engine would look idle.
 #[test]
 fn what_was_sent_is_waited_for_until_it_begins() {
-    let (mut reading, now) = (Reading::default(), Instant::now());
+    let (mut reading, now) = (Estimator::default(), Instant::now());
     reading.sent(0, 0.5);
     assert!(reading.backlog(0, now) >= 0.5);
-    reading.begun(Begun { rank: 0, seconds: 0.5, ahead: 0.0, took: 0.6 }, now);
+    reading.record_first_token(FirstToken { rank: 0, seconds: 0.5, ahead: 0.0, took: 0.6 }, now);
     assert!(reading.backlog(0, now) < 0.1);
 }
 
@@ -17,13 +17,15 @@
 /// once nothing more is seen, so that the engine is used again.
 #[test]
 fn late_first_tokens_tell_of_work_that_others_sent() {
-    let (mut reading, now) = (Reading::default(), Instant::now());
+    let (mut reading, now) = (Estimator::default(), Instant::now());
     for _ in 0..20 {
-        reading.begun(Begun { rank: 0, seconds: 0.0, ahead: 0.0, took: 0.1 }, now);
+        reading
+            .record_first_token(FirstToken { rank: 0, seconds: 0.0, ahead: 0.0, took: 0.1 }, now);
     }
     assert!(reading.backlog(0, now) < 0.05);
     for _ in 0..3 {
-        reading.begun(Begun { rank: 0, seconds: 0.0, ahead: 0.0, took: 1.1 }, now);
+        reading
+            .record_first_token(FirstToken { rank: 0, seconds: 0.0, ahead: 0.0, took: 1.1 }, now);
     }
     assert!(reading.backlog(0, now) > 0.5);
     assert!(reading.backlog(0, now + Duration::from_secs(5)) < 0.01);
@@ -33,9 +35,9 @@
 /// waits for all of them; told of the others' it knows, and forgets once nothing more is heard.
 #[test]
 fn what_others_sent_is_waited_for_while_it_is_heard() {
-    let (mut reading, now) = (Reading::default(), Instant::now());
+    let (mut reading, now) = (Estimator::default(), Instant::now());
     reading.sent(3, 0.2);
-    let mut others = Others::default();
+    let mut others = Peers::default();
     others.work.add(3, 0.4);
     reading.received(others, now);
     assert!((reading.backlog(3, now) - 0.6).abs() < 1e-9);
@@ -46,7 +48,7 @@
 /// not be sent away for their sake.
 #[test]
 fn less_urgent_prompts_are_not_waited_for() {
-    let (mut reading, now) = (Reading::default(), Instant::now());
+    let (mut reading, now) = (Estimator::default(), Instant::now());
     reading.sent(6, 2.0);
     assert_eq!(reading.backlog(3, now), 0.0);
     assert_eq!(reading.backlog(6, now), 2.0);
@@ -56,12 +58,13 @@
 /// were seen to wait must not send streams away.
 #[test]
 fn waits_of_less_urgent_prompts_tell_nothing() {
-    let (mut reading, now) = (Reading::default(), Instant::now());
+    let (mut reading, now) = (Estimator::default(), Instant::now());
     for rank in [0, 6] {
-        reading.begun(Begun { rank, seconds: 0.0, ahead: 0.0, took: 0.1 }, now);
+        reading.record_first_token(FirstToken { rank, seconds: 0.0, ahead: 0.0, took: 0.1 }, now);
     }
     for _ in 0..10 {
-        reading.begun(Begun { rank: 6, seconds: 0.0, ahead: 0.0, took: 5.1 }, now);
+        reading
+            .record_first_token(FirstToken { rank: 6, seconds: 0.0, ahead: 0.0, took: 5.1 }, now);
     }
     assert!(reading.backlog(0, now) < 0.01);
     assert!(reading.backlog(6, now) > 3.0);
--- a/components/policy/src/copies.rs
+++ b/components/policy/src/prefix.rs
@@ -33,7 +33,7 @@
 
 /// What an engine does before the first token of a request; all times in seconds.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Prefill {
+pub(crate) struct Cost {
     /// It reads, or takes over, what it is known to lack.
     pub(crate) reading: f64,
     /// It reads the beginning as well if it doesn't keep it, which nobody knows.
@@ -94,7 +94,7 @@
         at: ids::Server,
         copies: &Copies,
         now: Instant,
-    ) -> Option<Prefill> {
+    ) -> Option<Cost> {
         let reads = f64::from(self.servers[at].terms.reads?.max(1));
         let time = |from: u32, to: u32| reading_time(from, to, reads);
         let (shared, prompt) = (held.request.shared_tokens(), held.request.prompt_tokens);
@@ -116,7 +116,7 @@
             None if first => (0.0, lacks, 0.0),
             None => (lacks, 0.0, 0.0),
         };
-        Some(Prefill {
+        Some(Cost {
             reading: time(shared, prompt) + beginning,
             cold,
             copying,
--- a/components/policy/src/ranks.rs
+++ b/components/policy/src/priority.rs
@@ -2,15 +2,15 @@
 //! rank tells of those behind it only.
 
 /// Ranks of urgency that are told apart; less urgent ones count as the last.
-pub(crate) const RANKS: usize = 10;
+pub(crate) const PRIORITIES: usize = 10;
 
 /// An amount, by rank of urgency.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub(crate) struct Ranked([f64; RANKS]);
+pub(crate) struct PerPriority([f64; PRIORITIES]);
 
-impl Ranked {
+impl PerPriority {
     fn at(&mut self, rank: u8) -> &mut f64 {
-        &mut self.0[usize::from(rank).min(RANKS - 1)]
+        &mut self.0[usize::from(rank).min(PRIORITIES - 1)]
     }
 
     /// Adds to what a rank has, or takes away where `more` is negative.
@@ -26,12 +26,12 @@
     }
 
     /// What a rank and all that go before it have together.
-    pub(crate) fn sum_to(&self, rank: u8) -> f64 {
+    pub(crate) fn sum_up_to(&self, rank: u8) -> f64 {
         self.0.iter().take(usize::from(rank) + 1).sum()
     }
 
     /// The most that a rank has, or one of those that go before it.
-    pub(crate) fn most_to(&self, rank: u8) -> f64 {
+    pub(crate) fn max_up_to(&self, rank: u8) -> f64 {
         self.0.iter().take(usize::from(rank) + 1).copied().fold(0.0, f64::max)
     }
 
@@ -48,9 +48,9 @@
 }
 
 /// By rank; what is beyond the last rank counts with it.
-impl From<&[f64]> for Ranked {
+impl From<&[f64]> for PerPriority {
     fn from(told: &[f64]) -> Self {
-        let mut ranked = Ranked::default();
+        let mut ranked = PerPriority::default();
         for (rank, more) in told.iter().enumerate() {
             ranked.add(u8::try_from(rank).unwrap_or(u8::MAX), *more);
         }
--- a/components/policy/src/quarantine.rs
+++ b/components/policy/src/quarantine.rs
@@ -319,7 +319,7 @@
 
 /// A number from 0 to 1 that a node draws for a request.
 fn draw(seed: u64, content: u64) -> f64 {
-    crate::pick::mix(seed ^ content) as f64 / u64::MAX as f64
+    crate::pick::mix64(seed ^ content) as f64 / u64::MAX as f64
 }
 
 #[cfg(test)]
--- a/components/policy/src/draws.rs
+++ b/components/policy/src/sampling.rs
@@ -7,7 +7,7 @@
 
 use crate::held::Held;
 use crate::isolation::Group;
-use crate::pick::mix;
+use crate::pick::mix64;
 use crate::pool::Member;
 use crate::scheduler::Scheduler;
 
@@ -35,7 +35,7 @@
         let mut looked_at: Vec<_> = homes.into_iter().flatten().collect();
         looked_at.extend(self.prefixes.holders(&held.request.shared));
         for (member, free) in members {
-            let group = pool.isolation.engine(member.region, member.rank);
+            let group = pool.isolation.engine_group(member.region, member.rank);
             let salt = self.servers[member.server].terms.salt;
             groups[group as usize].push((draw(held.jitter, salt, free), member.server));
         }
@@ -49,7 +49,7 @@
 
 /// A number by which an engine with twice the free places is drawn first twice as often.
 fn draw(jitter: u64, salt: u64, free: f64) -> f64 {
-    let uniform = (mix(jitter ^ salt ^ SALT) as f64 + 1.0) / (u64::MAX as f64 + 1.0);
+    let uniform = (mix64(jitter ^ salt ^ SALT) as f64 + 1.0) / (u64::MAX as f64 + 1.0);
     -uniform.ln() / free.max(FULL)
 }
 
--- a/components/policy/src/scheduler.rs
+++ b/components/policy/src/scheduler.rs
@@ -17,10 +17,10 @@
 use crate::mechanism::{Mechanism, Without};
 use crate::need::Needs;
 use crate::pick::Candidate;
-use crate::places;
 use crate::pool::{Key, Member, Pool};
-use crate::reading::Begun;
+use crate::prefill::FirstToken;
 use crate::server;
+use crate::slots;
 use crate::terms::{Class, Demand, Fetch, Limits, Report, Request, Server, Share, Workspace};
 use crate::throttle::Permits;
 
@@ -56,8 +56,8 @@
     pub(crate) limits: Limits,
     pub(crate) prefixes: cache::Index,
     /// At what rate this node sends to engines, and others do.
-    pub(crate) rate: places::Rate,
-    pub(crate) others: places::Others,
+    pub(crate) rate: slots::SendRate,
+    pub(crate) others: slots::PeerRate,
     pub(crate) timers: BTreeSet<(Instant, ids::Job)>,
     pub(crate) refused: Vec<(ids::Job, Refusal, Duration)>,
     pub(crate) scratch: Vec<Candidate>,
@@ -72,7 +72,7 @@
     /// Rank of the highest tier that has a class.
     pub(crate) top: u8,
     pub(crate) rng: SmallRng,
-    pub(crate) jitter: places::Jitter,
+    pub(crate) jitter: slots::Jitter,
     pub(crate) without: Without,
     /// A session may have its home in another region.
     pub(crate) crosses: bool,
@@ -117,8 +117,8 @@
             link: Bucket::new(0.0),
             limits: Limits { retry_percent: 10, retry_burst: RETRIES, link_bytes: 1 << 20 },
             prefixes: cache::Index::default(),
-            rate: places::Rate::default(),
-            others: places::Others::default(),
+            rate: slots::SendRate::default(),
+            others: slots::PeerRate::default(),
             timers: BTreeSet::new(),
             refused: vec![],
             scratch: vec![],
@@ -130,7 +130,7 @@
             strictest: f64::INFINITY,
             top: u8::MAX,
             rng: SmallRng::seed_from_u64(seed),
-            jitter: places::Jitter::new(seed),
+            jitter: slots::Jitter::new(seed),
             without: Without::default(),
             crosses: true,
         }
@@ -241,7 +241,7 @@
     /// Gives a backend server that the settings no longer name no new work.
     pub fn remove_server(&mut self, key: ids::Server) {
         self.servers.remove(key);
-        self.prefixes.forget(key);
+        self.prefixes.remove_server(key);
         self.refresh();
     }
 
@@ -282,7 +282,7 @@
     /// assert_eq!(policy::Scheduler::new().engaged_of_late(), [0.0; policy::GROUPS]);
     /// ```
     pub fn engaged_of_late(&self) -> [f64; GROUPS] {
-        let all = self.pools.values().map(|pool| pool.isolation.seconds());
+        let all = self.pools.values().map(|pool| pool.isolation.recent_seconds());
         all.fold([0.0; GROUPS], |sum, own| std::array::from_fn(|group| sum[group] + own[group]))
     }
 
@@ -297,7 +297,7 @@
             return;
         }
         for pool in self.pools.values_mut() {
-            pool.isolation.set_fleet(seconds, now);
+            pool.isolation.set_fleet_work(seconds, now);
         }
     }
 
@@ -315,7 +315,7 @@
         self.epoch += 1;
         let Scheduler { pools, index, ticked, .. } = self;
         // One that stands empty for a moment still knows what its engines were used for of late.
-        let of_late = |pool: &Pool| ticked.is_some_and(|now| pool.isolation.worked(now));
+        let of_late = |pool: &Pool| ticked.is_some_and(|now| pool.isolation.recently_active(now));
         pools.retain(|_, pool| pool.jobs > 0 || of_late(pool));
         index.retain(|_, key| pools.contains_key(*key));
     }
@@ -402,7 +402,7 @@
 fn ranked(servers: &SecondaryMap<ids::Server, server::State>, pool: &[ids::Server]) -> Vec<Member> {
     let open = pool.iter().filter(|key| !servers[**key].leaving());
     let mut open: Vec<_> = open.map(|key| (&servers[*key].terms, *key)).collect();
-    open.sort_by_key(|(terms, _)| (terms.region, crate::pick::mix(terms.salt)));
+    open.sort_by_key(|(terms, _)| (terms.region, crate::pick::mix64(terms.salt)));
     let mut ranked: Vec<Member> = vec![];
     for (terms, server) in open {
         let last = ranked.last().filter(|last| last.region == terms.region);
@@ -456,21 +456,21 @@
             match last {
                 None => {
                     let took = now.saturating_duration_since(sent);
-                    self.prefixes.begun(&held.request, server, now);
-                    known.begun(took);
-                    let begun = Begun {
+                    self.prefixes.record_prefill(&held.request, server, now);
+                    known.record_first_token(took);
+                    let begun = FirstToken {
                         rank: held.urgency,
                         seconds: held.reading,
                         ahead: held.ahead,
                         took: took.as_secs_f64(),
                     };
-                    known.reading.begun(begun, now);
+                    known.prefill.record_first_token(begun, now);
                     held.reading = 0.0;
                 }
-                Some(last) => known.paced((now - last) / count.max(1)),
+                Some(last) => known.record_token_interval((now - last) / count.max(1)),
             }
             if last.is_some() {
-                let (interval, slots) = (known.interval(), known.slots());
+                let (interval, slots) = (known.token_interval(), known.slots());
                 known.limit.observe(interval, self.strictest, slots, now);
             }
         }
@@ -488,7 +488,7 @@
     fn report(&mut self, server: ids::Server, report: Report, now: Instant) {
         let Some(known) = self.servers.get_mut(server) else { return };
         let (interval, slots) = (report.token_interval.as_secs_f64(), known.slots());
-        known.reported(report, now);
+        known.apply_report(report, now);
         if interval > 0.0 {
             known.limit.observe(interval, self.strictest, slots, now);
         }
--- a/components/policy/src/server.rs
+++ b/components/policy/src/server.rs
@@ -9,8 +9,8 @@
 use crate::health::Health;
 use crate::limit::Limit;
 use crate::mechanism::{Mechanism, Without};
-use crate::ranks::Ranked;
-use crate::reading::Reading;
+use crate::prefill::Estimator;
+use crate::priority::PerPriority;
 use crate::terms::{Report, Server, Share};
 use crate::throttle::Permits;
 
@@ -25,9 +25,9 @@
 /// Weight of a new token interval in the running mean: some ten tokens show a change.
 const WEIGHT: f64 = 0.1;
 /// Token interval of a server of which nothing was heard, in seconds.
-pub(crate) const INTERVAL: f64 = 0.05;
+pub(crate) const DEFAULT_TOKEN_SECONDS: f64 = 0.05;
 /// Time to its first token, in seconds.
-pub(crate) const FIRST: f64 = 0.2;
+pub(crate) const DEFAULT_FIRST_TOKEN_SECONDS: f64 = 0.2;
 
 /// One backend server.
 #[derive(Debug)]
@@ -37,11 +37,11 @@
     /// Requests of this node that are there.
     pub(crate) jobs: Vec<ids::Job>,
     /// Their places, by rank of urgency.
-    pub(crate) taken: Ranked,
+    pub(crate) taken: PerPriority,
     pub(crate) share: Option<Share>,
     pub(crate) health: Health,
     pub(crate) limit: Limit,
-    pub(crate) reading: Reading,
+    pub(crate) prefill: Estimator,
     /// Permits to send to it, if it has named a rate limit.
     pub(crate) permits: Option<Permits>,
     report: Option<Report>,
@@ -61,11 +61,11 @@
             terms,
             sent: 0,
             jobs: vec![],
-            taken: Ranked::default(),
+            taken: PerPriority::default(),
             share: None,
             health: Health::default(),
             limit: Limit::default(),
-            reading: Reading::default(),
+            prefill: Estimator::default(),
             permits: None,
             report: None,
             since: 0,
@@ -88,7 +88,7 @@
     }
 
     /// Requests that this node may have there at once.
-    pub(crate) fn places(&self, without: Without) -> u32 {
+    pub(crate) fn node_slots(&self, without: Without) -> u32 {
         let slots = self.slots();
         let shared = self.share.filter(|_| without.has(Mechanism::Sharing));
         let places = shared.map_or(slots, |share| share.places.min(slots));
@@ -100,31 +100,31 @@
     }
 
     /// Whether this node may send it one more.
-    pub(crate) fn free(&self, without: Without) -> bool {
-        self.sent < self.places(without)
+    pub(crate) fn has_free_slot(&self, without: Without) -> bool {
+        self.sent < self.node_slots(without)
     }
 
     /// Whether its rate limit leaves room for one more, if it has named one.
-    pub(crate) fn permitted(&self, now: Instant) -> bool {
+    pub(crate) fn has_permit(&self, now: Instant) -> bool {
         self.permits.as_ref().is_none_or(|permits| permits.any(now))
     }
 
     /// Whether it seems to have a place, be it this node's or not, and this node holds no more than
     /// its part: one beyond it is all that a node adds to what an engine may be overrun by.
-    pub(crate) fn roomy(&self, now: Instant, without: Without) -> bool {
-        self.sent <= self.places(without)
+    pub(crate) fn has_spare_slots(&self, now: Instant, without: Without) -> bool {
+        self.sent <= self.node_slots(without)
             && self.load(now, without) + 2.0 <= f64::from(self.limit_of(self.slots(), without))
     }
 
     /// Whether it has no place left, as far as known.
-    pub(crate) fn full(&self) -> bool {
+    pub(crate) fn is_full(&self) -> bool {
         self.sent + self.share.map_or(0, |share| share.sent) >= self.slots()
     }
 
     /// Rank of the highest tier that waits for it at a peer while it is full, as far as known.
-    pub(crate) fn awaited(&self, without: Without) -> Option<u8> {
+    pub(crate) fn peer_waiting_tier(&self, without: Without) -> Option<u8> {
         let share = self.share.filter(|_| without.has(Mechanism::Sharing))?;
-        share.waiting.filter(|_| self.full())
+        share.waiting.filter(|_| self.is_full())
     }
 
     /// Requests there now, as far as can be told.
@@ -142,25 +142,25 @@
     }
 
     /// Time since its last report was made.
-    pub(crate) fn age(&self, now: Instant) -> Option<Duration> {
+    pub(crate) fn report_age(&self, now: Instant) -> Option<Duration> {
         self.report.as_ref().map(|report| now.saturating_duration_since(report.at))
     }
 
     /// Seconds between tokens of a stream.
-    pub(crate) fn interval(&self) -> f64 {
+    pub(crate) fn token_interval(&self) -> f64 {
         let reported = self.report.as_ref().map(|report| report.token_interval.as_secs_f64());
         let known = self.seen.or(reported).filter(|interval| *interval > 0.0);
-        known.unwrap_or(INTERVAL)
+        known.unwrap_or(DEFAULT_TOKEN_SECONDS)
     }
 
     /// Whether its reports have stopped coming, as they do when a link or the server is down.
-    pub(crate) fn silent(&self, now: Instant) -> bool {
+    pub(crate) fn reports_stopped(&self, now: Instant) -> bool {
         let (Some(heard), Some(cadence)) = (self.heard, self.cadence) else { return false };
         now.saturating_duration_since(heard).as_secs_f64() > cadence * MISSED
     }
 
     /// Takes in a report.
-    pub(crate) fn reported(&mut self, report: Report, now: Instant) {
+    pub(crate) fn apply_report(&mut self, report: Report, now: Instant) {
         if let Some(last) = self.heard.replace(now) {
             let gap = now.saturating_duration_since(last).as_secs_f64();
             let cadence = self.cadence.get_or_insert(gap);
@@ -181,26 +181,26 @@
     }
 
     /// Takes in the mean time between tokens of a stream.
-    pub(crate) fn paced(&mut self, interval: Duration) {
+    pub(crate) fn record_token_interval(&mut self, interval: Duration) {
         let interval = interval.as_secs_f64();
         let seen = self.seen.get_or_insert(interval);
         *seen += (interval - *seen) * WEIGHT;
     }
 
     /// Takes in the time from a send to the first token.
-    pub(crate) fn begun(&mut self, after: Duration) {
+    pub(crate) fn record_first_token(&mut self, after: Duration) {
         let after = after.as_secs_f64();
         let first = self.first.get_or_insert(after);
         *first += (after - *first) * WEIGHT;
     }
 
     /// Seconds from a send to the first token.
-    pub(crate) fn first(&self) -> Option<f64> {
+    pub(crate) fn first_token_time(&self) -> Option<f64> {
         self.first
     }
 
     /// Counts a request sent.
-    pub(crate) fn send(&mut self, job: ids::Job, rank: u8, now: Instant) {
+    pub(crate) fn record_send(&mut self, job: ids::Job, rank: u8, now: Instant) {
         self.sent += 1;
         if let Some(permits) = &mut self.permits {
             permits.take(now);
@@ -211,7 +211,7 @@
     }
 
     /// Counts a request ended.
-    pub(crate) fn end(&mut self, job: ids::Job, rank: u8, now: Instant) {
+    pub(crate) fn record_end(&mut self, job: ids::Job, rank: u8, now: Instant) {
         self.sent = self.sent.saturating_sub(1);
         self.taken.add(rank, -1.0);
         if let Some(index) = self.jobs.iter().position(|held| *held == job) {
--- a/components/policy/src/places.rs
+++ b/components/policy/src/slots.rs
@@ -13,8 +13,8 @@
 use crate::held::Held;
 use crate::isolation::Group;
 use crate::mechanism::Mechanism;
-use crate::pick::mix;
-use crate::ranks::Ranked;
+use crate::pick::mix64;
+use crate::priority::PerPriority;
 use crate::scheduler::Scheduler;
 use crate::server;
 
@@ -28,24 +28,24 @@
 
 /// Requests a second, by rank of urgency, as an exponential mean.
 #[derive(Debug, Default)]
-pub(crate) struct Rate {
-    recent: Ranked,
+pub(crate) struct SendRate {
+    recent: PerPriority,
     at: Option<Instant>,
 }
 
-impl Rate {
+impl SendRate {
     pub(crate) fn add(&mut self, rank: u8, now: Instant) {
         self.recent = self.recent(now);
         self.recent.add(rank, 1.0);
         self.at = Some(now);
     }
 
-    fn recent(&self, now: Instant) -> Ranked {
+    fn recent(&self, now: Instant) -> PerPriority {
         let age = self.at.map_or(0.0, |at| now.saturating_duration_since(at).as_secs_f64());
         self.recent.times((-age / HALF).exp2())
     }
 
-    fn by_rank(&self, now: Instant) -> Ranked {
+    fn by_rank(&self, now: Instant) -> PerPriority {
         self.recent(now).times(std::f64::consts::LN_2 / HALF)
     }
 }
@@ -63,20 +63,20 @@
     /// The next number.
     pub(crate) fn next(&mut self) -> u64 {
         self.0 = self.0.wrapping_add(STEP);
-        mix(self.0)
+        mix64(self.0)
     }
 }
 
 /// At what rate other nodes send, as reported.
 #[derive(Debug, Default)]
-pub(crate) struct Others {
-    rate: Ranked,
+pub(crate) struct PeerRate {
+    rate: PerPriority,
     received: Option<Instant>,
     /// Time between the last two reports.
     every: Duration,
 }
 
-impl Others {
+impl PeerRate {
     /// Requests as urgent as `rank`, or more, that others may have sent since their last reports.
     fn unreported(&self, rank: u8, now: Instant) -> f64 {
         let Some(received) = self.received else { return 0.0 };
@@ -85,7 +85,7 @@
             return 0.0;
         }
         // Reports are already one interval old when they arrive.
-        self.rate.sum_to(rank) * (self.every + age).as_secs_f64()
+        self.rate.sum_up_to(rank) * (self.every + age).as_secs_f64()
     }
 }
 
@@ -115,18 +115,18 @@
     /// Requests a second that this node sends to engines, by rank of urgency.
     ///
     /// ```
-    /// let sends = policy::Scheduler::new().sends(std::time::Instant::now());
-    /// assert!(sends.iter().all(|rate| *rate == 0.0));
+    /// let rates = policy::Scheduler::new().send_rates(std::time::Instant::now());
+    /// assert!(rates.iter().all(|rate| *rate == 0.0));
     /// ```
-    pub fn sends(&self, now: Instant) -> Vec<f64> {
+    pub fn send_rates(&self, now: Instant) -> Vec<f64> {
         self.rate.by_rank(now).to_vec()
     }
 
-    /// Takes in the sum of [`Scheduler::sends`] over all other nodes.
-    pub fn set_sends(&mut self, others: &[f64], now: Instant) {
+    /// Takes in the sum of [`Scheduler::send_rates`] over all other nodes.
+    pub fn set_peer_send_rates(&mut self, others: &[f64], now: Instant) {
         let every = self.others.received.map_or(Duration::ZERO, |received| now - received);
         self.others =
-            Others { rate: others.into(), received: Some(now), every: every.min(REPORTS) };
+            PeerRate { rate: others.into(), received: Some(now), every: every.min(REPORTS) };
     }
 
     /// What a request counts as taken beyond what was reported.
@@ -136,7 +136,8 @@
             return Unreported::default();
         }
         let pool = &self.pools[held.pool];
-        let own = |region, rank| group.is_none_or(|own| pool.isolation.engine(region, rank) == own);
+        let own =
+            |region, rank| group.is_none_or(|own| pool.isolation.engine_group(region, rank) == own);
         let members = pool.members.iter().filter(|member| own(member.region, member.rank));
         let free = members.map(|member| self.free(held, &self.servers[member.server], now));
         let (free, engines) = free.fold((0.0, 0.0), |(sum, count), free| (sum + free, count + 1.0));
@@ -151,7 +152,7 @@
 
     /// Places at an engine that requests take which are as urgent as `rank`, or more, as far as heard.
     fn taken(&self, known: &server::State, rank: u8, now: Instant) -> f64 {
-        known.taken.sum_to(rank) + known.reading.taken(rank, now)
+        known.taken.sum_up_to(rank) + known.prefill.taken(rank, now)
     }
 
     /// Seconds until a request gets a place at an engine, which gives those that come free to the most
@@ -170,6 +171,6 @@
         let unreported = unreported.at(self.free(held, known, now));
         let before = self.taken(known, held.urgency, now) + unreported;
         let behind = (before + 1.0 - slots).max(0.0);
-        behind * f64::from(held.tokens) * known.interval() / slots
+        behind * f64::from(held.tokens) * known.token_interval() / slots
     }
 }
--- a/components/policy/src/hanging.rs
+++ b/components/policy/src/stall.rs
@@ -9,7 +9,7 @@
 use crate::engines::EASE;
 use crate::held::Held;
 use crate::mechanism::Mechanism;
-use crate::ranks::Ranked;
+use crate::priority::PerPriority;
 use crate::scheduler::Scheduler;
 use crate::server;
 
@@ -27,22 +27,22 @@
     /// haven't, where they wait for too long themselves.
     pub(crate) fn held_up(&self, known: &server::State, rank: u8, now: Instant) -> f64 {
         let here = self.overdue_here(known, now);
-        let as_urgent = here.most_to(rank).max(known.reading.overdue(rank, now));
-        let any = here.most_to(u8::MAX).max(known.reading.overdue(u8::MAX, now));
+        let as_urgent = here.max_up_to(rank).max(known.prefill.overdue(rank, now));
+        let any = here.max_up_to(u8::MAX).max(known.prefill.overdue(u8::MAX, now));
         as_urgent.max(any.min(self.silent(known, now)))
     }
 
     /// Seconds for which an engine has begun nothing, as far as any node told.
     fn silent(&self, known: &server::State, now: Instant) -> f64 {
-        let begun = known.reading.last_begun();
+        let begun = known.prefill.last_begun();
         begun.map_or(f64::INFINITY, |begun| now.saturating_duration_since(begun).as_secs_f64())
     }
 
     /// Seconds by which requests of this node wait at a server for longer than is usual, by rank. One that
     /// hangs or falls silent ends no attempt for as long as its callers wait; all that is sent there
     /// meanwhile waits as well.
-    pub(crate) fn overdue_here(&self, known: &server::State, now: Instant) -> Ranked {
-        let mut overdue = Ranked::default();
+    pub(crate) fn overdue_here(&self, known: &server::State, now: Instant) -> PerPriority {
+        let mut overdue = PerPriority::default();
         if !self.without.has(Mechanism::Hanging) {
             return overdue;
         }
@@ -53,8 +53,8 @@
     }
 
     /// The longest of those.
-    pub(crate) fn hangs(&self, known: &server::State, now: Instant) -> f64 {
-        self.overdue_here(known, now).most_to(u8::MAX)
+    pub(crate) fn longest_own_overdue(&self, known: &server::State, now: Instant) -> f64 {
+        self.overdue_here(known, now).max_up_to(u8::MAX)
     }
 
     /// Seconds by which a request waits longer for the start of its answer than is usual; negative
@@ -66,25 +66,25 @@
         let target = self.classes.get(held.request.class).map(|class| class.first_token);
         let usual = target.unwrap_or_default().as_secs_f64() * EASE;
         let waited = now.saturating_duration_since(held.sent_at).as_secs_f64();
-        waited - usual.max(held.reading + known.reading.least())
+        waited - usual.max(held.reading + known.prefill.least())
     }
 
     /// Whether an engine can be relied on to hand over what it keeps: none of this node's requests waits too
     /// long there, and where one of another node's does, somebody saw it begin something of late.
     pub(crate) fn hands_over(&self, known: &server::State, now: Instant) -> bool {
         let then = now.checked_sub(Duration::from_secs_f64(SILENT));
-        let begins = then.is_some_and(|then| known.reading.last_begun() > Some(then));
-        let answers = begins || known.reading.overdue(u8::MAX, now) <= SILENT;
-        answers && self.hangs(known, now) <= 0.0
+        let begins = then.is_some_and(|then| known.prefill.last_begun() > Some(then));
+        let answers = begins || known.prefill.overdue(u8::MAX, now) <= SILENT;
+        answers && self.longest_own_overdue(known, now) <= 0.0
     }
 
     /// Whether an engine hangs, as far as a request tells whose caller goes away: it waits longer than
     /// is usual, and nobody saw the engine begin anything since it was sent. Of some dozens of nodes each
     /// has few requests at an engine: going by its own, each leaves out one that is merely full.
-    pub(crate) fn hung(&self, held: &Held, server: ids::Server, now: Instant) -> bool {
+    pub(crate) fn stalled(&self, held: &Held, server: ids::Server, now: Instant) -> bool {
         let Some(known) = self.servers.get(server) else { return false };
         let reads = known.terms.reads.is_some() && self.without.has(Mechanism::Hanging);
-        let silent = known.reading.last_begun() <= Some(held.sent_at);
+        let silent = known.prefill.last_begun() <= Some(held.sent_at);
         reads && silent && self.overdue_by(held, known, now) > SILENT
     }
 }
--- a/components/policy/src/stop.rs
+++ b/components/policy/src/stop.rs
@@ -132,8 +132,8 @@
 
     /// Whether a server has no place left for this node, as far as can be told.
     fn filled(&self, known: &server::State, now: Instant) -> bool {
-        let part = known.share.is_some() && known.sent >= known.places(self.without);
-        part || known.full() || known.load(now, self.without) + 1.0 > f64::from(known.slots())
+        let part = known.share.is_some() && known.sent >= known.node_slots(self.without);
+        part || known.is_full() || known.load(now, self.without) + 1.0 > f64::from(known.slots())
     }
 
     /// The stream can be stopped, go on wherever it is sent next, and still end in time.
@@ -141,7 +141,8 @@
         let known = self.servers.get(server);
         // A place at a straggler buys no target.
         let pace = self.pools[held.pool].interval * STRAGGLER;
-        let buys = |known: &server::State| known.interval() <= pace && self.filled(known, now);
+        let buys =
+            |known: &server::State| known.token_interval() <= pace && self.filled(known, now);
         let left = held.request.deadline.saturating_duration_since(now).as_secs_f64();
         let needed = self.pools[held.pool].service(self.rest(held, 0.5)) * SLACK;
         // What a class gets once in its longest wait is an answer, not the start of one.
--- a/components/policy/tests/common/fleet.rs
+++ b/components/policy/tests/common/fleet.rs
@@ -189,7 +189,7 @@
         let told: Vec<(Vec<Backlog>, Vec<f64>)> = self
             .nodes
             .iter()
-            .map(|node| (node.scheduler.backlogs(node.now), node.scheduler.sends(node.now)))
+            .map(|node| (node.scheduler.backlogs(node.now), node.scheduler.send_rates(node.now)))
             .collect();
         for (index, node) in self.nodes.iter_mut().enumerate() {
             let others = told.iter().enumerate().filter(|(other, _)| *other != index);
@@ -207,7 +207,7 @@
             }
             let sums: Vec<_> = sums.into_values().collect();
             node.scheduler.set_backlogs(&sums, node.now);
-            node.scheduler.set_sends(&sends, node.now);
+            node.scheduler.set_peer_send_rates(&sends, node.now);
         }
     }
 }
--- a/components/policy/tests/engines.rs
+++ b/components/policy/tests/engines.rs
@@ -255,7 +255,7 @@
     let groupmate = (0..200).map(|session| send(&mut fixture, DRAFT, session));
     let (_, other) = groupmate.into_iter().find(|(_, server)| *server != home).unwrap();
     let now = fixture.now;
-    fixture.scheduler.set_cached([Cached { server: other, part }], now);
+    fixture.scheduler.apply_cache_updates([Cached { server: other, part }], now);
     let (_, server) = send(&mut fixture, DRAFT, 7);
     assert_eq!(server, other);
 }
