--- a/components/policy/src/admit.rs
+++ b/components/policy/src/admit.rs
@@ -12,8 +12,8 @@
 
 use crate::action::Refusal;
 use crate::forecast;
-use crate::held::{Held, Stage};
 use crate::mechanism::Mechanism;
+use crate::pending::{Pending, Stage};
 use crate::pool::Key;
 use crate::scheduler::Scheduler;
 use crate::terms::Request;
@@ -49,7 +49,7 @@
         if let Some(turn) = self.turns.get_mut(class) {
             turn.since.get_or_insert(now);
         }
-        let held = Held {
+        let pending = Pending {
             last_call: request.deadline,
             request,
             tier,
@@ -72,7 +72,7 @@
             sent_at: now,
             last_token: None,
         };
-        let job = self.jobs.insert(held);
+        let job = self.jobs.insert(pending);
         self.ticked.get_or_insert(now);
         let known = self.classes.contains_key(class) && self.workspaces.contains_key(workspace);
         if !known || !self.staffed(pool) {
@@ -97,39 +97,39 @@
     }
 
     /// Tokens that an answer will still take, at a quantile.
-    pub(crate) fn rest(&self, held: &Held, part: f64) -> u32 {
-        let request = &held.request;
-        let most = request.max_tokens.unwrap_or(u32::MAX).saturating_sub(held.produced).max(1);
+    pub(crate) fn rest(&self, pending: &Pending, part: f64) -> u32 {
+        let request = &pending.request;
+        let most = request.max_tokens.unwrap_or(u32::MAX).saturating_sub(pending.produced).max(1);
         if !self.without.has(Mechanism::Lengths) {
             return 128.min(most);
         }
         let (class, workspace) = (request.class, request.workspace);
-        self.lengths.rest(class, workspace, held.produced, part).min(most)
+        self.lengths.rest(class, workspace, pending.produced, part).min(most)
     }
 
     /// Works out what a request stands for while it waits, and when it is too late to send it.
     fn estimate(&mut self, job: ids::Job) {
-        let held = &self.jobs[job];
-        let rest = self.rest(held, 0.5);
-        let time = self.pools[held.pool].service(self.rest(held, SURE));
+        let pending = &self.jobs[job];
+        let rest = self.rest(pending, 0.5);
+        let time = self.pools[pending.pool].service(self.rest(pending, SURE));
         let fit = self.without.has(Mechanism::Fit);
-        let held = &mut self.jobs[job];
-        held.tokens = rest;
-        let deadline = held.request.deadline;
+        let pending = &mut self.jobs[job];
+        pending.tokens = rest;
+        let deadline = pending.request.deadline;
         let call = deadline.checked_sub(Duration::from_secs_f64(time.min(3_600.0)));
-        held.last_call = call.filter(|_| fit).unwrap_or(deadline);
+        pending.last_call = call.filter(|_| fit).unwrap_or(deadline);
     }
 
     /// Puts a request into its queue.
     pub(crate) fn enqueue(&mut self, job: ids::Job, now: Instant) {
         self.estimate(job);
-        let held = &self.jobs[job];
-        let (class, workspace) = (held.request.class, held.request.workspace);
-        let (tier, pool) = (held.tier, held.pool);
-        let begun = held.produced > 0;
+        let pending = &self.jobs[job];
+        let (class, workspace) = (pending.request.class, pending.request.workspace);
+        let (tier, pool) = (pending.tier, pending.pool);
+        let begun = pending.produced > 0;
         let target = self.classes.get(class).map_or(Duration::ZERO, |class| class.first_token);
         let reading = Duration::from_secs_f64(self.pools[pool].first * READING);
-        let late_at = held.request.arrived + target.saturating_sub(reading);
+        let late_at = pending.request.arrived + target.saturating_sub(reading);
         let late = !begun && late_at <= now && self.without.has(Mechanism::Yielding);
         let lane = self.lane(workspace);
         let counter = self.lift(pool, tier, class, lane);
@@ -138,11 +138,11 @@
         let line = self.pools[pool].line(tier, class);
         line.band(late).push(entry, counter, open);
         line.blocked = 0;
-        let held = &mut self.jobs[job];
-        held.stage = Stage::Waiting { late };
+        let pending = &mut self.jobs[job];
+        pending.stage = Stage::Waiting { late };
         let yields = !late && !begun && self.without.has(Mechanism::Yielding);
-        let timer = if yields { late_at.min(held.last_call) } else { held.last_call };
-        held.timer = Some(timer);
+        let timer = if yields { late_at.min(pending.last_call) } else { pending.last_call };
+        pending.timer = Some(timer);
         self.timers.insert((timer, job));
         self.waiting += 1;
     }
@@ -170,17 +170,17 @@
 
     /// Takes a request out of its queue, or out of its pause.
     pub(crate) fn unqueue(&mut self, job: ids::Job) {
-        let Some(held) = self.jobs.get_mut(job) else { return };
-        if let Some(at) = held.timer.take() {
+        let Some(pending) = self.jobs.get_mut(job) else { return };
+        if let Some(at) = pending.timer.take() {
             self.timers.remove(&(at, job));
         }
-        self.parked.remove(&(held.tier, job));
-        let Stage::Waiting { late } = held.stage else { return };
-        held.stage = Stage::Over;
-        let held = &self.jobs[job];
-        let entry = held.entry(job, self.lane(held.request.workspace));
-        let (tier, class) = (held.tier, held.request.class);
-        if self.pools[held.pool].line(tier, class).band(late).remove(entry) {
+        self.parked.remove(&(pending.tier, job));
+        let Stage::Waiting { late } = pending.stage else { return };
+        pending.stage = Stage::Over;
+        let pending = &self.jobs[job];
+        let entry = pending.entry(job, self.lane(pending.request.workspace));
+        let (tier, class) = (pending.tier, pending.request.class);
+        if self.pools[pending.pool].line(tier, class).band(late).remove(entry) {
             self.waiting -= 1;
         }
     }
@@ -193,26 +193,31 @@
     }
 
     /// Seconds until a request of a class and lane, put in its queue now, would be sent.
-    pub(crate) fn forecast(&self, held: &Held, lane: Option<ids::Workspace>, now: Instant) -> f64 {
-        let pool = &self.pools[held.pool];
+    pub(crate) fn forecast(
+        &self,
+        pending: &Pending,
+        lane: Option<ids::Workspace>,
+        now: Instant,
+    ) -> f64 {
+        let pool = &self.pools[pending.pool];
         let mut ahead = 0;
-        let bearable = held.last_call.saturating_duration_since(now).as_secs_f64();
+        let bearable = pending.last_call.saturating_duration_since(now).as_secs_f64();
         let (mut above, mut tokens_above, mut weights) = (0.0, 0, 0);
-        let own = self.classes.get(held.request.class).map_or(1, |class| class.weight);
+        let own = self.classes.get(pending.request.class).map_or(1, |class| class.weight);
         for line in &pool.lines {
-            if line.tier < held.tier {
+            if line.tier < pending.tier {
                 above += line.flow.rate(bearable, now);
                 tokens_above += line.tokens();
-            } else if line.class == held.request.class {
+            } else if line.class == pending.request.class {
                 ahead = match lane {
                     Some(lane) => {
                         let (_, tokens) = line.fresh.lane(lane);
                         let turns = line.fresh.lanes().max(1) as u64;
-                        line.fresh.tokens().min(turns * (tokens + u64::from(held.tokens)))
+                        line.fresh.tokens().min(turns * (tokens + u64::from(pending.tokens)))
                     }
                     None => line.tokens(),
                 };
-            } else if line.tier == held.tier && line.len() > 0 {
+            } else if line.tier == pending.tier && line.len() > 0 {
                 weights += self.classes.get(line.class).map_or(1, |class| class.weight);
             }
         }
@@ -222,46 +227,46 @@
     }
 
     /// Whether the longest wait of its class brings a request its turn in time.
-    pub(crate) fn promised(&self, held: &Held) -> bool {
+    pub(crate) fn promised(&self, pending: &Pending) -> bool {
         if !self.without.has(Mechanism::LongestWait) {
             return false;
         }
-        let class = held.request.class;
+        let class = pending.request.class;
         let lines = self.pools.values().flat_map(|pool| &pool.lines);
         let alone = lines.filter(|line| line.class == class).map(|l| l.len()).sum::<usize>() <= 1;
         let since = self.turns.get(class).and_then(|turn| turn.since);
         let longest = self.classes.get(class).map_or(Duration::MAX, |class| class.longest_wait);
-        alone && since.is_some_and(|since| since + longest <= held.last_call)
+        alone && since.is_some_and(|since| since + longest <= pending.last_call)
     }
 
     /// When a request that can't be served in time had better be sent again.
     fn hopeless(&self, job: ids::Job, now: Instant) -> Option<Duration> {
-        let held = &self.jobs[job];
+        let pending = &self.jobs[job];
         let early = self.without.has(Mechanism::EarlyRefusal);
-        let wait = self.forecast(held, Some(self.lane(held.request.workspace)), now);
-        let bearable = held.last_call.saturating_duration_since(now).as_secs_f64();
-        let over = wait > bearable * CONFIDENT && !self.promised(held);
+        let wait = self.forecast(pending, Some(self.lane(pending.request.workspace)), now);
+        let bearable = pending.last_call.saturating_duration_since(now).as_secs_f64();
+        let over = wait > bearable * CONFIDENT && !self.promised(pending);
         let late = bearable == 0.0 || (early && over);
         late.then(|| self.again_after(job, now))
     }
 
     pub(crate) fn again_after(&self, job: ids::Job, now: Instant) -> Duration {
-        let held = &self.jobs[job];
-        let wait = self.forecast(held, None, now);
-        let useful = held.last_call.saturating_duration_since(held.request.arrived);
+        let pending = &self.jobs[job];
+        let wait = self.forecast(pending, None, now);
+        let useful = pending.last_call.saturating_duration_since(pending.request.arrived);
         let spread = crate::pick::mix(slotmap::Key::data(&job).as_ffi()) as f64 / u64::MAX as f64;
         forecast::again(wait, useful.as_secs_f64() / 2.0, spread)
     }
 
     /// Makes room for a request if the queue is full; returns whether there is any.
     fn make_room(&mut self, job: ids::Job, now: Instant) -> bool {
-        let held = &self.jobs[job];
-        let room = self.classes.get(held.request.class).map_or(0, |class| class.queue);
+        let pending = &self.jobs[job];
+        let room = self.classes.get(pending.request.class).map_or(0, |class| class.queue);
         if self.waiting < room {
             return true;
         }
-        let (tier, class, lane) = (held.tier, held.request.class, held.request.workspace);
-        let own = self.pools[held.pool].line(tier, class).fresh.lane(lane).0;
+        let (tier, class, lane) = (pending.tier, pending.request.class, pending.request.workspace);
+        let own = self.pools[pending.pool].line(tier, class).fresh.lane(lane).0;
         let Some(victim) = self.victim(tier, own) else { return false };
         self.give_up(victim, Refusal::Displaced, now);
         true
--- a/components/policy/src/attempt.rs
+++ b/components/policy/src/attempt.rs
@@ -10,8 +10,8 @@
 
 use crate::action::Ending;
 use crate::fair;
-use crate::held::Stage;
 use crate::mechanism::Mechanism;
+use crate::pending::Stage;
 use crate::scheduler::Scheduler;
 
 /// First pause before another attempt; doubled by each. A refused connection costs a millisecond,
@@ -20,7 +20,7 @@
 impl Scheduler {
     /// Takes in how an attempt ended; returns whether the request waits again.
     pub(crate) fn conclude(&mut self, job: ids::Job, ending: Ending, now: Instant) -> bool {
-        let Some(Stage::Sent(server)) = self.jobs.get(job).map(|held| held.stage) else {
+        let Some(Stage::Sent(server)) = self.jobs.get(job).map(|pending| pending.stage) else {
             return false;
         };
         self.release(job, server, ending, now);
@@ -29,39 +29,39 @@
             return false;
         }
         let jitter: f64 = self.rng.random();
-        let held = &mut self.jobs[job];
+        let pending = &mut self.jobs[job];
         if ending == Ending::Stopped {
-            held.attempts -= 1;
-            held.stops += 1;
+            pending.attempts -= 1;
+            pending.stops += 1;
             self.enqueue(job, now);
             return true;
         }
         if ending == Ending::Unreached {
-            held.attempts -= 1;
+            pending.attempts -= 1;
         }
-        let doublings = u32::from(held.attempts.saturating_sub(1)).min(8);
+        let doublings = u32::from(pending.attempts.saturating_sub(1)).min(8);
         let at = now + (PAUSE * (1 << doublings)).mul_f64(0.5 + jitter);
-        held.avoid = Some(server);
-        held.stage = Stage::Parked;
-        held.timer = Some(at);
-        self.parked.insert((held.tier, job));
+        pending.avoid = Some(server);
+        pending.stage = Stage::Parked;
+        pending.timer = Some(at);
+        self.parked.insert((pending.tier, job));
         self.timers.insert((at, job));
         true
     }
 
     /// Whether a request whose attempt ended so is tried again.
     fn again(&mut self, job: ids::Job, ending: Ending, now: Instant) -> bool {
-        let held = &self.jobs[job];
+        let pending = &self.jobs[job];
         let repeatable = match ending {
             Ending::Stopped => return true,
-            Ending::Unreached => return now < held.last_call,
+            Ending::Unreached => return now < pending.last_call,
             Ending::NotRun => true,
-            Ending::Failed | Ending::Faulty => held.request.idempotent,
+            Ending::Failed | Ending::Faulty => pending.request.idempotent,
             Ending::Whole | Ending::Cancelled => false,
         };
-        let model = held.request.model;
-        let attempts = self.classes.get(held.request.class).map_or(1, |class| class.attempts);
-        if !repeatable || held.attempts >= attempts || now >= held.last_call {
+        let model = pending.request.model;
+        let attempts = self.classes.get(pending.request.class).map_or(1, |class| class.attempts);
+        if !repeatable || pending.attempts >= attempts || now >= pending.last_call {
             return false;
         }
         !self.without.has(Mechanism::RetryBudget) || self.retries(model).take(1.0)
@@ -71,8 +71,8 @@
     fn release(&mut self, job: ids::Job, server: ids::Server, ending: Ending, now: Instant) {
         let jitter = self.rng.random();
         let hung = ending == Ending::Cancelled && self.hung(&self.jobs[job], server, now);
-        let held = &mut self.jobs[job];
-        let (urgency, reading) = (held.urgency, std::mem::take(&mut held.reading));
+        let pending = &mut self.jobs[job];
+        let (urgency, reading) = (pending.urgency, std::mem::take(&mut pending.reading));
         if let Some(known) = self.servers.get_mut(server) {
             known.end(job, urgency, now);
             if hung {
@@ -91,16 +91,16 @@
                 Ending::Cancelled | Ending::Stopped | Ending::Faulty => {}
             }
         }
-        let held = &mut self.jobs[job];
-        let (class, workspace) = (held.request.class, held.request.workspace);
-        let used = fair::cost(held.request.prompt_tokens, held.produced);
+        let pending = &mut self.jobs[job];
+        let (class, workspace) = (pending.request.class, pending.request.workspace);
+        let used = fair::cost(pending.request.prompt_tokens, pending.produced);
         let unrun = matches!(ending, Ending::NotRun | Ending::Unreached);
         let used = if unrun { 0 } else { used };
-        let change = i64::from(used) - i64::from(held.charged);
-        held.charged = used;
-        held.stopping = false;
-        held.last_token = None;
-        let produced = held.produced;
+        let change = i64::from(used) - i64::from(pending.charged);
+        pending.charged = used;
+        pending.stopping = false;
+        pending.last_token = None;
+        let produced = pending.produced;
         self.charge(class, workspace, change);
         if ending == Ending::Whole && produced > 0 {
             self.lengths.add(class, workspace, produced);
--- a/components/policy/src/belief.rs
+++ b/components/policy/src/belief.rs
@@ -5,7 +5,7 @@
 use slotmap::SecondaryMap;
 
 use crate::dispatch::STRAGGLER;
-use crate::held::Stage;
+use crate::pending::Stage;
 use crate::scheduler::Scheduler;
 use crate::terms::Demand;
 
@@ -92,12 +92,12 @@
     /// Requests held now, by class.
     pub fn work(&self) -> Vec<Demand> {
         let mut all: SecondaryMap<ids::Class, Demand> = SecondaryMap::new();
-        for held in self.jobs.values() {
-            let class = held.request.class;
+        for pending in self.jobs.values() {
+            let class = pending.request.class;
             let entry = all.entry(class);
             let fresh = Demand { class, waiting: 0, sent: 0 };
             let Some(demand) = entry.map(|entry| entry.or_insert(fresh)) else { continue };
-            match held.stage {
+            match pending.stage {
                 Stage::Sent(_) => demand.sent += 1,
                 _ => demand.waiting += 1,
             }
--- a/components/policy/src/copies.rs
+++ b/components/policy/src/copies.rs
@@ -8,8 +8,8 @@
 
 use std::time::Instant;
 
-use crate::held::Held;
 use crate::mechanism::Mechanism;
+use crate::pending::Pending;
 use crate::pool::Member;
 use crate::scheduler::Scheduler;
 
@@ -61,54 +61,55 @@
     /// Where the beginning of a request's prompt is kept.
     pub(crate) fn copies(
         &self,
-        held: &Held,
+        pending: &Pending,
         homes: [Option<ids::Server>; 2],
         now: Instant,
     ) -> Copies {
-        let shared = held.request.shared_tokens();
-        let near = |member: &&Member| self.crosses || member.region == held.request.region;
-        let mut members = self.pools[held.pool].members.iter().filter(near);
-        let known = members.any(|member| self.kept(held, member.server, now) >= shared);
-        let sources = self.prefixes.sources(&held.request.shared, now);
+        let shared = pending.request.shared_tokens();
+        let near = |member: &&Member| self.crosses || member.region == pending.request.region;
+        let mut members = self.pools[pending.pool].members.iter().filter(near);
+        let known = members.any(|member| self.kept(pending, member.server, now) >= shared);
+        let sources = self.prefixes.sources(&pending.request.shared, now);
         let sound = sources.filter(|source| {
             let known = self.servers.get(*source);
             known.is_some_and(|known| self.hands_over(known, now) && !self.barred(*source, now))
         });
-        let near = |source: &ids::Server| self.servers[*source].terms.region == held.request.region;
+        let near =
+            |source: &ids::Server| self.servers[*source].terms.region == pending.request.region;
         let source = sound.max_by_key(near).filter(|_| self.without.has(Mechanism::Fetching));
         Copies { homes, known, source }
     }
 
     /// Tokens of a prompt's beginning that an engine keeps.
-    fn kept(&self, held: &Held, server: ids::Server, now: Instant) -> u32 {
+    fn kept(&self, pending: &Pending, server: ids::Server, now: Instant) -> u32 {
         if !self.without.has(Mechanism::Holdings) {
             return 0;
         }
-        self.prefixes.kept(&held.request.shared, server, now)
+        self.prefixes.kept(&pending.request.shared, server, now)
     }
 
     /// What an engine does before the first token of a request; none if it isn't known how fast it reads.
     pub(crate) fn prefill(
         &self,
-        held: &Held,
+        pending: &Pending,
         at: ids::Server,
         copies: &Copies,
         now: Instant,
     ) -> Option<Prefill> {
         let reads = f64::from(self.servers[at].terms.reads?.max(1));
         let time = |from: u32, to: u32| reading_time(from, to, reads);
-        let (shared, prompt) = (held.request.shared_tokens(), held.request.prompt_tokens);
+        let (shared, prompt) = (pending.request.shared_tokens(), pending.request.prompt_tokens);
         let place = copies.homes.iter().position(|home| *home == Some(at));
         // The home is where the beginning belongs, so that one copy serves all; it has to come there first.
         let first = place == Some(0) && !copies.known;
         let kept = match place {
             Some(0) if first => 0,
             Some(1) if !copies.known => shared / 2,
-            _ => self.kept(held, at, now),
+            _ => self.kept(pending, at, now),
         };
         let lacks = time(kept.min(shared), shared);
         let source = copies.source.filter(|source| *source != at && lacks > 0.0);
-        let fetch = source.and_then(|source| Some((source, self.fetching(held, at)?)));
+        let fetch = source.and_then(|source| Some((source, self.fetching(pending, at)?)));
         let fetch = fetch.filter(|(_, seconds)| *seconds < lacks * GAINS);
         let (beginning, cold, copying) = match fetch {
             Some((_, seconds)) if first => (seconds, 0.0, 0.0),
@@ -126,8 +127,8 @@
     }
 
     /// Seconds in which an engine takes over the beginning of a prompt; none where it can't.
-    fn fetching(&self, held: &Held, at: ids::Server) -> Option<f64> {
+    fn fetching(&self, pending: &Pending, at: ids::Server) -> Option<f64> {
         let way = self.servers[at].terms.fetch?;
-        Some(way.setup.as_secs_f64() + f64::from(held.request.shared_tokens()) / way.tokens)
+        Some(way.setup.as_secs_f64() + f64::from(pending.request.shared_tokens()) / way.tokens)
     }
 }
--- a/components/policy/src/dispatch.rs
+++ b/components/policy/src/dispatch.rs
@@ -10,8 +10,8 @@
 use crate::action::{Action, Refusal};
 use crate::admit::{CONFIDENT, SURE};
 use crate::fair;
-use crate::held::{Held, Stage};
 use crate::mechanism::Mechanism;
+use crate::pending::{Pending, Stage};
 use crate::pick::{self, Candidate};
 use crate::pool::{Key, Line};
 use crate::scheduler::Scheduler;
@@ -65,7 +65,7 @@
         let lines = self.pools.values().flat_map(|pool| &pool.lines);
         let waiting = lines.map(|line| (line.class, line.len()));
         let sent = self.servers.values().flat_map(|known| &known.jobs);
-        let sent = sent.filter_map(|job| self.jobs.get(*job)).map(|held| held.request.class);
+        let sent = sent.filter_map(|job| self.jobs.get(*job)).map(|pending| pending.request.class);
         self.needs.add(waiting, sent, now.saturating_duration_since(last));
         self.epoch += 1;
         self.link.flow(self.limits.link_bytes as f64, now);
@@ -117,10 +117,10 @@
             for _ in 0..TRIM {
                 let line = &self.pools[key].lines[index];
                 let Some(job) = line.late.tail().or_else(|| line.fresh.tail()) else { break };
-                let held = &self.jobs[job];
-                let wait = self.forecast(held, None, now);
-                let bearable = held.last_call.saturating_duration_since(now).as_secs_f64();
-                if wait <= bearable * CONFIDENT || self.promised(held) {
+                let pending = &self.jobs[job];
+                let wait = self.forecast(pending, None, now);
+                let bearable = pending.last_call.saturating_duration_since(now).as_secs_f64();
+                if wait <= bearable * CONFIDENT || self.promised(pending) {
                     break;
                 }
                 self.give_up(job, Refusal::Late, now);
@@ -132,14 +132,14 @@
     pub(crate) fn expire(&mut self, now: Instant) {
         while let Some((at, job)) = self.timers.first().copied().filter(|(at, _)| *at <= now) {
             self.timers.remove(&(at, job));
-            let Some(held) = self.jobs.get_mut(job) else { continue };
-            held.timer = None;
-            match held.stage {
+            let Some(pending) = self.jobs.get_mut(job) else { continue };
+            pending.timer = None;
+            match pending.stage {
                 Stage::Parked => {
                     self.unqueue(job);
                     self.enqueue(job, now);
                 }
-                Stage::Waiting { .. } if now >= held.last_call => {
+                Stage::Waiting { .. } if now >= pending.last_call => {
                     self.give_up(job, Refusal::Late, now);
                 }
                 Stage::Waiting { .. } => {
@@ -212,9 +212,9 @@
             return Choice::Server(chosen.server);
         }
         let mut candidates = std::mem::take(&mut self.scratch);
-        let (held, without) = (&self.jobs[job], self.without);
-        let free = self.candidates(&mut candidates, held, overdue, now);
-        let picked = pick::pick(&candidates, held.request.prefix, &mut self.rng, without);
+        let (pending, without) = (&self.jobs[job], self.without);
+        let free = self.candidates(&mut candidates, pending, overdue, now);
+        let picked = pick::pick(&candidates, pending.request.prefix, &mut self.rng, without);
         let choice = picked.map_or(if free { Choice::Busy } else { Choice::Full }, Choice::Server);
         candidates.clear();
         self.scratch = candidates;
@@ -226,25 +226,25 @@
     fn candidates(
         &self,
         into: &mut Vec<Candidate>,
-        held: &Held,
+        pending: &Pending,
         overdue: bool,
         now: Instant,
     ) -> bool {
-        let pool = &self.pools[held.pool];
-        let (rest, safe) = (self.rest(held, SURE), self.rest(held, SAFE));
-        let left = held.request.deadline.saturating_duration_since(now).as_secs_f64();
+        let pool = &self.pools[pending.pool];
+        let (rest, safe) = (self.rest(pending, SURE), self.rest(pending, SAFE));
+        let left = pending.request.deadline.saturating_duration_since(now).as_secs_f64();
         let ejected = pool.servers.iter().filter(|key| self.ejected(**key, now)).count();
         // All of a pool out at once says more about this node than about the servers.
         let panic = ejected == pool.servers.len();
         let link = self.without.has(Mechanism::Link);
-        let urgent = self.urgent(held, now);
+        let urgent = self.urgent(pending, now);
         let (mut near, mut far, mut free) = (false, 0, false);
         for key in &pool.servers {
             let known = &self.servers[*key];
             if !known.permitted(now) {
                 continue;
             }
-            let here = known.terms.region == held.request.region;
+            let here = known.terms.region == pending.request.region;
             near |= here && !known.leaving() && !self.ejected(*key, now);
             let place = known.free(self.without);
             free |= place;
@@ -252,7 +252,7 @@
             if !place && !beyond {
                 continue;
             }
-            if !self.takes(known, held, overdue) || (!panic && self.barred(*key, now)) {
+            if !self.takes(known, pending, overdue) || (!panic && self.barred(*key, now)) {
                 continue;
             }
             let interval = known.interval();
@@ -281,14 +281,14 @@
             }
         }
         // A server that just failed is as good as none.
-        let spent = |candidate: &Candidate| Some(candidate.server) == held.avoid;
+        let spent = |candidate: &Candidate| Some(candidate.server) == pending.avoid;
         let only_far = into[..into.len() - far].iter().all(spent);
-        let again = held.avoid.is_some();
-        if far > 0 && !(only_far && self.crosses(held, near && !again, now)) {
+        let again = pending.avoid.is_some();
+        if far > 0 && !(only_far && self.crosses(pending, near && !again, now)) {
             into.truncate(into.len() - far);
         }
         if into.len() > 1
-            && let Some(avoid) = held.avoid
+            && let Some(avoid) = pending.avoid
         {
             into.retain(|candidate| candidate.server != avoid);
         }
@@ -296,15 +296,15 @@
     }
 
     /// Whether a server takes requests of this tier now.
-    fn takes(&self, known: &server::State, held: &Held, overdue: bool) -> bool {
-        let awaited = known.awaited(self.without).is_some_and(|waiting| waiting < held.tier);
+    fn takes(&self, known: &server::State, pending: &Pending, overdue: bool) -> bool {
+        let awaited = known.awaited(self.without).is_some_and(|waiting| waiting < pending.tier);
         !known.leaving() && (!awaited || overdue)
     }
 
     /// A request of the highest tier that waits long goes beyond this node's part: engines honour
     /// tiers, so if the place is a peer's, a lower tier waits for it and not this request.
-    fn urgent(&self, held: &Held, now: Instant) -> bool {
-        held.tier == self.top && self.in_danger(held, now)
+    fn urgent(&self, pending: &Pending, now: Instant) -> bool {
+        pending.tier == self.top && self.in_danger(pending, now)
     }
 
     /// Part of its attempts of late that failed.
@@ -325,28 +325,30 @@
     }
 
     /// Whether a request may cross the link: it buys a target, and the budget bears it.
-    fn crosses(&self, held: &Held, near: bool, now: Instant) -> bool {
-        let target = self.classes.get(held.request.class).map_or(Duration::ZERO, |c| c.first_token);
-        let waited = now.saturating_duration_since(held.request.arrived);
-        let reserve = (f64::from(held.tier) * LINK_STEP).min(0.8);
+    fn crosses(&self, pending: &Pending, near: bool, now: Instant) -> bool {
+        let target =
+            self.classes.get(pending.request.class).map_or(Duration::ZERO, |c| c.first_token);
+        let waited = now.saturating_duration_since(pending.request.arrived);
+        let reserve = (f64::from(pending.tier) * LINK_STEP).min(0.8);
         let affordable = self.link.part() > reserve;
         affordable && (!near || waited >= target.mul_f64(CROSS))
     }
 
     fn send(&mut self, job: ids::Job, server: ids::Server, now: Instant) {
         self.unqueue(job);
-        let held = &mut self.jobs[job];
-        held.stage = Stage::Sent(server);
-        held.attempts = held.attempts.saturating_add(1);
-        held.sent_at = now;
-        let (class, workspace, tier) = (held.request.class, held.request.workspace, held.tier);
-        let (pool, tokens, first) = (held.pool, held.tokens, held.attempts == 1);
-        let (model, urgency) = (held.request.model, held.urgency);
-        let bytes = held.request.prompt_tokens * PROMPT_BYTES + tokens * EVENT_BYTES;
-        let charge = fair::cost(held.request.prompt_tokens, held.produced + tokens);
-        let more = i64::from(charge) - i64::from(held.charged);
-        held.charged = charge;
-        let far = self.servers[server].terms.region != held.request.region;
+        let pending = &mut self.jobs[job];
+        pending.stage = Stage::Sent(server);
+        pending.attempts = pending.attempts.saturating_add(1);
+        pending.sent_at = now;
+        let (class, workspace, tier) =
+            (pending.request.class, pending.request.workspace, pending.tier);
+        let (pool, tokens, first) = (pending.pool, pending.tokens, pending.attempts == 1);
+        let (model, urgency) = (pending.request.model, pending.urgency);
+        let bytes = pending.request.prompt_tokens * PROMPT_BYTES + tokens * EVENT_BYTES;
+        let charge = fair::cost(pending.request.prompt_tokens, pending.produced + tokens);
+        let more = i64::from(charge) - i64::from(pending.charged);
+        pending.charged = charge;
+        let far = self.servers[server].terms.region != pending.request.region;
         self.servers[server].send(job, urgency, now);
         let lane = self.lane(workspace);
         let counter = self.fair.workspace(class, lane);
--- a/components/policy/src/draws.rs
+++ b/components/policy/src/draws.rs
@@ -5,8 +5,8 @@
 //! before anyone hears of it, while most others stay idle. So a request looks at the engines that keep its
 //! prompt's beginning, and at a few others of each group, drawn by their free places.
 
-use crate::held::Held;
 use crate::isolation::Group;
+use crate::pending::Pending;
 use crate::pick::mix;
 use crate::pool::Member;
 use crate::scheduler::Scheduler;
@@ -26,18 +26,18 @@
     /// free for it.
     pub(crate) fn drawn<'a>(
         &self,
-        held: &Held,
+        pending: &Pending,
         members: impl Iterator<Item = (&'a Member, f64)>,
         homes: [Option<ids::Server>; 2],
     ) -> Vec<ids::Server> {
-        let pool = &self.pools[held.pool];
+        let pool = &self.pools[pending.pool];
         let mut groups: [Vec<Draw>; Group::COUNT] = Default::default();
         let mut looked_at: Vec<_> = homes.into_iter().flatten().collect();
-        looked_at.extend(self.prefixes.holders(&held.request.shared));
+        looked_at.extend(self.prefixes.holders(&pending.request.shared));
         for (member, free) in members {
             let group = pool.isolation.engine(member.region, member.rank);
             let salt = self.servers[member.server].terms.salt;
-            groups[group as usize].push((draw(held.jitter, salt, free), member.server));
+            groups[group as usize].push((draw(pending.jitter, salt, free), member.server));
         }
         for group in &mut groups {
             group.sort_by(|a, b| a.0.total_cmp(&b.0));
--- a/components/policy/src/engines.rs
+++ b/components/policy/src/engines.rs
@@ -12,9 +12,9 @@
 use std::time::{Duration, Instant};
 
 use crate::copies::{Copies, Prefill};
-use crate::held::{Expected, Held};
 use crate::isolation::Group;
 use crate::mechanism::Mechanism;
+use crate::pending::{Expected, Pending};
 use crate::pick::mix;
 use crate::places::Unreported;
 use crate::pool::Member;
@@ -83,38 +83,38 @@
 
 impl Scheduler {
     /// Whether it is known how fast the servers of a request read.
-    pub(crate) fn reads(&self, held: &Held) -> bool {
-        let servers = &self.pools[held.pool].servers;
+    pub(crate) fn reads(&self, pending: &Pending) -> bool {
+        let servers = &self.pools[pending.pool].servers;
         self.without.has(Mechanism::Reading)
             && servers.iter().any(|key| self.servers[*key].terms.reads.is_some())
     }
 
     /// The engine for a request; none if none may take it now. The second part tells whether any had
     /// a place.
-    pub(crate) fn engine(&self, held: &Held, now: Instant) -> (Option<Chosen>, bool) {
-        let pool = &self.pools[held.pool];
+    pub(crate) fn engine(&self, pending: &Pending, now: Instant) -> (Option<Chosen>, bool) {
+        let pool = &self.pools[pending.pool];
         let grouped = self.without.has(Mechanism::Groups);
-        let group = pool.isolation.group(self.pause(held)).filter(|_| grouped);
-        let homes = self.homes(held, group, now);
-        let copies = self.copies(held, homes, now);
-        let unreported = self.unreported(held, group, now);
+        let group = pool.isolation.group(self.pause(pending)).filter(|_| grouped);
+        let homes = self.homes(pending, group, now);
+        let copies = self.copies(pending, homes, now);
+        let unreported = self.unreported(pending, group, now);
         let context = Context { group, copies: &copies, unreported };
         let all_out = pool.members.iter().all(|member| self.barred(member.server, now));
         let usable = pool.members.iter().filter(|member| {
-            (all_out || !self.barred(member.server, now)) && self.usable(held, member, now)
+            (all_out || !self.barred(member.server, now)) && self.usable(pending, member, now)
         });
         let usable: Vec<_> = usable.collect();
         let free = !usable.is_empty();
-        let places = |member: &Member| self.free(held, &self.servers[member.server], now);
+        let places = |member: &Member| self.free(pending, &self.servers[member.server], now);
         let drawn = usable.iter().map(|member| (*member, places(member)));
-        let drawn = self.drawn(held, drawn, homes);
+        let drawn = self.drawn(pending, drawn, homes);
         let mut best: Option<Chosen> = None;
         // A permit soon ends, so its engine is looked at in any case.
         let looked = |member: &&&Member| {
             drawn.contains(&member.server) || self.servers[member.server].permits.is_some()
         };
         for member in usable.iter().filter(looked) {
-            let Some(chosen) = self.cost(held, member, context, now) else { continue };
+            let Some(chosen) = self.cost(pending, member, context, now) else { continue };
             if best.is_none_or(|best| chosen.cost < best.cost) {
                 best = Some(chosen);
             }
@@ -123,15 +123,16 @@
     }
 
     /// Longest time between tokens that the callers of a request's class bear.
-    fn pause(&self, held: &Held) -> Duration {
-        let class = self.classes.get(held.request.class);
+    fn pause(&self, pending: &Pending) -> Duration {
+        let class = self.classes.get(pending.request.class);
         class.map(|class| class.token_interval).unwrap_or_default()
     }
 
     /// Whether an engine that isn't left out may take a request now.
-    fn usable(&self, held: &Held, member: &Member, now: Instant) -> bool {
+    fn usable(&self, pending: &Pending, member: &Member, now: Instant) -> bool {
         let known = &self.servers[member.server];
-        let avoided = held.avoid == Some(member.server) && self.pools[held.pool].members.len() > 1;
+        let avoided =
+            pending.avoid == Some(member.server) && self.pools[pending.pool].members.len() > 1;
         let room = known.free(self.without) && known.permitted(now);
         room && !known.leaving() && !avoided
     }
@@ -139,20 +140,25 @@
     /// The engine that has most likely cached the beginning of a request's prompt: of its group, and
     /// of its region unless reading the beginning anew costs more than the way to another one.
     /// The second is where requests go that leave the first, so that it has mostly cached it as well.
-    fn homes(&self, held: &Held, group: Option<Group>, now: Instant) -> [Option<ids::Server>; 2] {
+    fn homes(
+        &self,
+        pending: &Pending,
+        group: Option<Group>,
+        now: Instant,
+    ) -> [Option<ids::Server>; 2] {
         if !self.without.has(Mechanism::Homes) {
             return [None; 2];
         }
-        let pool = &self.pools[held.pool];
+        let pool = &self.pools[pending.pool];
         let weight = |member: &&Member| {
             let known = &self.servers[member.server];
-            let shared = f64::from(held.request.shared_tokens());
+            let shared = f64::from(pending.request.shared_tokens());
             let dear = known.terms.reads.is_some_and(|reads| shared / f64::from(reads) > FAR);
             let crosses = dear && self.crosses;
-            let near = crosses || known.terms.region == held.request.region;
+            let near = crosses || known.terms.region == pending.request.region;
             let own = group
                 .is_none_or(|group| pool.isolation.engine(member.region, member.rank) == group);
-            (near, own, mix(held.request.prefix ^ known.terms.salt))
+            (near, own, mix(pending.request.prefix ^ known.terms.salt))
         };
         let members = pool.members.iter();
         let able = members.filter(|member| {
@@ -175,27 +181,27 @@
     /// What a request costs at an engine, in seconds of engine time.
     fn cost(
         &self,
-        held: &Held,
+        pending: &Pending,
         member: &Member,
         context: Context<'_>,
         now: Instant,
     ) -> Option<Chosen> {
         let Context { group, copies, unreported } = context;
         let known = &self.servers[member.server];
-        let request = &held.request;
+        let request = &pending.request;
         let home = copies.homes[0] == Some(member.server);
         let Prefill { reading, cold, copying, shared, fetch } =
-            self.prefill(held, member.server, copies, now)?;
-        let overdue = self.held_up(known, held.urgency, now);
-        let place = self.place_wait(held, known, unreported, now);
-        let backlog = known.reading.backlog(held.urgency, now).max(overdue).max(place);
+            self.prefill(pending, member.server, copies, now)?;
+        let overdue = self.held_up(known, pending.urgency, now);
+        let place = self.place_wait(pending, known, unreported, now);
+        let backlog = known.reading.backlog(pending.urgency, now).max(overdue).max(place);
         let target = self.classes.get(request.class).map_or(1.0, |c| c.first_token.as_secs_f64());
         let waited = now.saturating_duration_since(request.arrived).as_secs_f64();
         let first = waited + backlog + reading + cold + known.reading.least();
         let ease = if shared > FAR { STAYS } else { EASE };
         let late = (first - target * ease).max(0.0) * LATE;
-        let far = self.far(held, known, shared);
-        let engines = self.pools[held.pool].isolation.engine(member.region, member.rank);
+        let far = self.far(pending, known, shared);
+        let engines = self.pools[pending.pool].isolation.engine(member.region, member.rank);
         let strange = strange(group, engines, reading, backlog);
         let steady = group.is_some_and(|group| group < Group::Bulk);
         let stutter = if steady { backlog } else { 0.0 };
@@ -211,8 +217,8 @@
 
     /// Seconds that an engine of another region must be better by; `shared` are those in which the beginning
     /// of the prompt is read.
-    fn far(&self, held: &Held, known: &server::State, shared: f64) -> f64 {
-        if known.terms.region == held.request.region {
+    fn far(&self, pending: &Pending, known: &server::State, shared: f64) -> f64 {
+        if known.terms.region == pending.request.region {
             return 0.0;
         }
         // What is kept beyond a link that is full is no nearer than what has to be read.
@@ -222,22 +228,22 @@
     /// Counts what a request that was sent costs its engine, for the sizes of the groups.
     pub(crate) fn engaged(&mut self, job: ids::Job, chosen: Chosen, now: Instant) {
         let Chosen { server, reading, backlog, overdue, home, fetch, .. } = chosen;
-        let held = &mut self.jobs[job];
+        let pending = &mut self.jobs[job];
         let known = &mut self.servers[server];
-        held.reading = reading;
-        held.ahead = known.reading.ahead(held.urgency, now);
-        self.prefixes.sent(&held.request, server, now);
-        held.expected = Some(Expected {
+        pending.reading = reading;
+        pending.ahead = known.reading.ahead(pending.urgency, now);
+        self.prefixes.sent(&pending.request, server, now);
+        pending.expected = Some(Expected {
             home,
             reading: Duration::from_secs_f64(reading),
             backlog: Duration::from_secs_f64(backlog),
-            ahead: Duration::from_secs_f64(held.ahead),
+            ahead: Duration::from_secs_f64(pending.ahead),
             overdue: Duration::from_secs_f64(overdue),
             fetch,
         });
-        known.reading.sent(held.urgency, reading);
-        self.rate.add(held.urgency, now);
-        let tokens = f64::from(held.tokens);
+        known.reading.sent(pending.urgency, reading);
+        self.rate.add(pending.urgency, now);
+        let tokens = f64::from(pending.tokens);
         let batch = BATCH.min(f64::from(known.slots()) * TAKEN).max(1.0);
         let seconds = reading + tokens * known.interval() / batch;
         let pause = self.pause(&self.jobs[job]);
--- a/components/policy/src/hanging.rs
+++ b/components/policy/src/hanging.rs
@@ -7,8 +7,8 @@
 use std::time::{Duration, Instant};
 
 use crate::engines::EASE;
-use crate::held::Held;
 use crate::mechanism::Mechanism;
+use crate::pending::Pending;
 use crate::ranks::Ranked;
 use crate::scheduler::Scheduler;
 use crate::server;
@@ -46,8 +46,8 @@
         if !self.without.has(Mechanism::Hanging) {
             return overdue;
         }
-        for held in known.jobs.iter().filter_map(|job| self.jobs.get(*job)) {
-            overdue.raise(held.urgency, self.overdue_by(held, known, now));
+        for pending in known.jobs.iter().filter_map(|job| self.jobs.get(*job)) {
+            overdue.raise(pending.urgency, self.overdue_by(pending, known, now));
         }
         overdue
     }
@@ -59,14 +59,14 @@
 
     /// Seconds by which a request waits longer for the start of its answer than is usual; negative
     /// before that, and none once it has begun.
-    fn overdue_by(&self, held: &Held, known: &server::State, now: Instant) -> f64 {
-        if held.last_token.is_some() {
+    fn overdue_by(&self, pending: &Pending, known: &server::State, now: Instant) -> f64 {
+        if pending.last_token.is_some() {
             return 0.0;
         }
-        let target = self.classes.get(held.request.class).map(|class| class.first_token);
+        let target = self.classes.get(pending.request.class).map(|class| class.first_token);
         let usual = target.unwrap_or_default().as_secs_f64() * EASE;
-        let waited = now.saturating_duration_since(held.sent_at).as_secs_f64();
-        waited - usual.max(held.reading + known.reading.least())
+        let waited = now.saturating_duration_since(pending.sent_at).as_secs_f64();
+        waited - usual.max(pending.reading + known.reading.least())
     }
 
     /// Whether an engine can be relied on to hand over what it keeps: none of this node's requests waits too
@@ -81,10 +81,10 @@
     /// Whether an engine hangs, as far as a request tells whose caller goes away: it waits longer than
     /// is usual, and nobody saw the engine begin anything since it was sent. Of some dozens of nodes each
     /// has few requests at an engine: going by its own, each leaves out one that is merely full.
-    pub(crate) fn hung(&self, held: &Held, server: ids::Server, now: Instant) -> bool {
+    pub(crate) fn hung(&self, pending: &Pending, server: ids::Server, now: Instant) -> bool {
         let Some(known) = self.servers.get(server) else { return false };
         let reads = known.terms.reads.is_some() && self.without.has(Mechanism::Hanging);
-        let silent = known.reading.last_begun() <= Some(held.sent_at);
-        reads && silent && self.overdue_by(held, known, now) > SILENT
+        let silent = known.reading.last_begun() <= Some(pending.sent_at);
+        reads && silent && self.overdue_by(pending, known, now) > SILENT
     }
 }
--- a/components/policy/src/held.rs
+++ b/components/policy/src/pending.rs
@@ -43,7 +43,7 @@
 
 /// A request from its submission to its one end.
 #[derive(Debug)]
-pub(crate) struct Held {
+pub(crate) struct Pending {
     pub(crate) request: Request,
     pub(crate) tier: u8,
     /// Rank at engines.
@@ -79,7 +79,7 @@
     pub(crate) last_token: Option<Instant>,
 }
 
-impl Held {
+impl Pending {
     pub(crate) fn entry(&self, job: ids::Job, lane: ids::Workspace) -> Entry {
         Entry { job, workspace: lane, arrived: self.request.arrived, tokens: self.tokens }
     }
--- a/components/policy/src/places.rs
+++ b/components/policy/src/places.rs
@@ -10,9 +10,9 @@
 
 use std::time::{Duration, Instant};
 
-use crate::held::Held;
 use crate::isolation::Group;
 use crate::mechanism::Mechanism;
+use crate::pending::Pending;
 use crate::pick::mix;
 use crate::ranks::Ranked;
 use crate::scheduler::Scheduler;
@@ -130,23 +130,28 @@
     }
 
     /// What a request counts as taken beyond what was reported.
-    pub(crate) fn unreported(&self, held: &Held, group: Option<Group>, now: Instant) -> Unreported {
-        let unreported = self.others.unreported(held.urgency, now);
+    pub(crate) fn unreported(
+        &self,
+        pending: &Pending,
+        group: Option<Group>,
+        now: Instant,
+    ) -> Unreported {
+        let unreported = self.others.unreported(pending.urgency, now);
         if unreported == 0.0 {
             return Unreported::default();
         }
-        let pool = &self.pools[held.pool];
+        let pool = &self.pools[pending.pool];
         let own = |region, rank| group.is_none_or(|own| pool.isolation.engine(region, rank) == own);
         let members = pool.members.iter().filter(|member| own(member.region, member.rank));
-        let free = members.map(|member| self.free(held, &self.servers[member.server], now));
+        let free = members.map(|member| self.free(pending, &self.servers[member.server], now));
         let (free, engines) = free.fold((0.0, 0.0), |(sum, count), free| (sum + free, count + 1.0));
-        let part = held.jitter as f64 / u64::MAX as f64;
+        let part = pending.jitter as f64 / u64::MAX as f64;
         Unreported { before: unreported * part, free, engines }
     }
 
     /// Places at an engine that are free for a request, as far as reported.
-    pub(crate) fn free(&self, held: &Held, known: &server::State, now: Instant) -> f64 {
-        (f64::from(known.slots()) - self.taken(known, held.urgency, now)).max(0.0)
+    pub(crate) fn free(&self, pending: &Pending, known: &server::State, now: Instant) -> f64 {
+        (f64::from(known.slots()) - self.taken(known, pending.urgency, now)).max(0.0)
     }
 
     /// Places at an engine that requests take which are as urgent as `rank`, or more, as far as heard.
@@ -158,7 +163,7 @@
     /// urgent first: less urgent ones take none from it for longer than one of them takes to end.
     pub(crate) fn place_wait(
         &self,
-        held: &Held,
+        pending: &Pending,
         known: &server::State,
         unreported: Unreported,
         now: Instant,
@@ -167,9 +172,9 @@
             return 0.0;
         }
         let slots = f64::from(known.slots().max(1));
-        let unreported = unreported.at(self.free(held, known, now));
-        let before = self.taken(known, held.urgency, now) + unreported;
+        let unreported = unreported.at(self.free(pending, known, now));
+        let before = self.taken(known, pending.urgency, now) + unreported;
         let behind = (before + 1.0 - slots).max(0.0);
-        behind * f64::from(held.tokens) * known.interval() / slots
+        behind * f64::from(pending.tokens) * known.interval() / slots
     }
 }
--- a/components/policy/src/scheduler.rs
+++ b/components/policy/src/scheduler.rs
@@ -11,11 +11,11 @@
 use crate::bucket::Bucket;
 use crate::cache;
 use crate::fair::{self, Fair};
-use crate::held::{Expected, Held, Stage};
 use crate::isolation::GROUPS;
 use crate::length::Lengths;
 use crate::mechanism::{Mechanism, Without};
 use crate::need::Needs;
+use crate::pending::{Expected, Pending, Stage};
 use crate::pick::Candidate;
 use crate::places;
 use crate::pool::{Key, Member, Pool};
@@ -43,7 +43,7 @@
     pub(crate) classes: SecondaryMap<ids::Class, Class>,
     pub(crate) workspaces: SecondaryMap<ids::Workspace, Workspace>,
     pub(crate) servers: SecondaryMap<ids::Server, server::State>,
-    pub(crate) jobs: SlotMap<ids::Job, Held>,
+    pub(crate) jobs: SlotMap<ids::Job, Pending>,
     pub(crate) pools: SlotMap<Key, Pool>,
     pub(crate) index: HashMap<(ids::Model, Vec<ids::Server>), Key>,
     pub(crate) turns: SecondaryMap<ids::Class, Turn>,
@@ -377,13 +377,13 @@
     }
 
     /// Forgets a request.
-    pub(crate) fn forget(&mut self, job: ids::Job) -> Option<Held> {
+    pub(crate) fn forget(&mut self, job: ids::Job) -> Option<Pending> {
         self.unqueue(job);
-        let held = self.jobs.remove(job)?;
-        if let Some(pool) = self.pools.get_mut(held.pool) {
+        let pending = self.jobs.remove(job)?;
+        if let Some(pool) = self.pools.get_mut(pending.pool) {
             pool.jobs -= 1;
         }
-        Some(held)
+        Some(pending)
     }
 }
 
@@ -443,29 +443,30 @@
     }
 
     fn tokens(&mut self, job: ids::Job, count: u32, now: Instant) {
-        let Some(held) = self.jobs.get_mut(job) else { return };
-        let Stage::Sent(server) = held.stage else { return };
-        held.produced = held.produced.saturating_add(count);
-        let last = held.last_token.replace(now);
-        let used = fair::cost(held.request.prompt_tokens, held.produced);
-        let more = used.saturating_sub(held.charged);
-        held.charged = held.charged.max(used);
-        let (class, workspace, sent) = (held.request.class, held.request.workspace, held.sent_at);
+        let Some(pending) = self.jobs.get_mut(job) else { return };
+        let Stage::Sent(server) = pending.stage else { return };
+        pending.produced = pending.produced.saturating_add(count);
+        let last = pending.last_token.replace(now);
+        let used = fair::cost(pending.request.prompt_tokens, pending.produced);
+        let more = used.saturating_sub(pending.charged);
+        pending.charged = pending.charged.max(used);
+        let (class, workspace, sent) =
+            (pending.request.class, pending.request.workspace, pending.sent_at);
         if let Some(known) = self.servers.get_mut(server) {
             known.health.good();
             match last {
                 None => {
                     let took = now.saturating_duration_since(sent);
-                    self.prefixes.begun(&held.request, server, now);
+                    self.prefixes.begun(&pending.request, server, now);
                     known.begun(took);
                     let begun = Begun {
-                        rank: held.urgency,
-                        seconds: held.reading,
-                        ahead: held.ahead,
+                        rank: pending.urgency,
+                        seconds: pending.reading,
+                        ahead: pending.ahead,
                         took: took.as_secs_f64(),
                     };
                     known.reading.begun(begun, now);
-                    held.reading = 0.0;
+                    pending.reading = 0.0;
                 }
                 Some(last) => known.paced((now - last) / count.max(1)),
             }
--- a/components/policy/src/stop.rs
+++ b/components/policy/src/stop.rs
@@ -12,7 +12,7 @@
 
 use crate::action::Action;
 use crate::dispatch::STRAGGLER;
-use crate::held::{Held, Stage};
+use crate::pending::{Pending, Stage};
 use crate::pool::Key;
 use crate::scheduler::Scheduler;
 use crate::server;
@@ -51,7 +51,7 @@
     pub(crate) fn rescue(&mut self, now: Instant, actions: &mut Vec<Action>) {
         let sent = self.servers.values().flat_map(|known| &known.jobs);
         let sent = sent.filter_map(|job| self.jobs.get(*job));
-        let stuck = sent.filter_map(|held| self.stuck(held, now));
+        let stuck = sent.filter_map(|pending| self.stuck(pending, now));
         let stuck: Vec<_> = stuck.take(RESCUED).collect();
         for (server, pool, tier) in stuck {
             if let Some(victim) = self.victim_at(pool, tier, Some(server), now).0 {
@@ -61,22 +61,22 @@
         }
     }
 
-    fn stuck(&self, held: &Held, now: Instant) -> Option<(ids::Server, Key, u8)> {
-        let Stage::Sent(server) = held.stage else { return None };
-        let class = self.classes.get(held.request.class)?;
-        let waited = now.saturating_duration_since(held.sent_at);
-        let stuck = held.produced == 0 && waited >= class.first_token.mul_f64(STUCK);
-        let met = self.left(held, now) > self.pools[held.pool].first;
-        (stuck && met).then_some((server, held.pool, held.tier))
+    fn stuck(&self, pending: &Pending, now: Instant) -> Option<(ids::Server, Key, u8)> {
+        let Stage::Sent(server) = pending.stage else { return None };
+        let class = self.classes.get(pending.request.class)?;
+        let waited = now.saturating_duration_since(pending.sent_at);
+        let stuck = pending.produced == 0 && waited >= class.first_token.mul_f64(STUCK);
+        let met = self.left(pending, now) > self.pools[pending.pool].first;
+        (stuck && met).then_some((server, pending.pool, pending.tier))
     }
 
     fn stoppable(&self, key: Key, now: Instant) -> Option<ids::Job> {
         let line = self.pools[key].lines.iter().find(|line| line.fresh.head().is_some())?;
-        let held = &self.jobs[line.fresh.head()?];
-        if !self.in_danger(held, now) {
+        let pending = &self.jobs[line.fresh.head()?];
+        if !self.in_danger(pending, now) {
             return None;
         }
-        let (best, stopping) = self.victim_at(key, held.tier, None, now);
+        let (best, stopping) = self.victim_at(key, pending.tier, None, now);
         // One stop for each request that waits at most.
         best.filter(|_| stopping < line.fresh.len())
     }
@@ -116,18 +116,18 @@
     }
 
     /// Seconds left of the target for the first token.
-    fn left(&self, held: &Held, now: Instant) -> f64 {
-        let target = self.classes.get(held.request.class).map(|class| class.first_token);
-        let waited = now.saturating_duration_since(held.request.arrived);
+    fn left(&self, pending: &Pending, now: Instant) -> f64 {
+        let target = self.classes.get(pending.request.class).map(|class| class.first_token);
+        let waited = now.saturating_duration_since(pending.request.arrived);
         target.unwrap_or_default().saturating_sub(waited).as_secs_f64()
     }
 
     /// The target is about to be missed, and a place now would still meet it.
-    pub(crate) fn in_danger(&self, held: &Held, now: Instant) -> bool {
-        let Some(class) = self.classes.get(held.request.class) else { return false };
-        let waited = now.saturating_duration_since(held.request.arrived);
+    pub(crate) fn in_danger(&self, pending: &Pending, now: Instant) -> bool {
+        let Some(class) = self.classes.get(pending.request.class) else { return false };
+        let waited = now.saturating_duration_since(pending.request.arrived);
         let late = waited >= class.first_token.mul_f64(DANGER);
-        late && self.left(held, now) > self.pools[held.pool].first
+        late && self.left(pending, now) > self.pools[pending.pool].first
     }
 
     /// Whether a server has no place left for this node, as far as can be told.
@@ -137,23 +137,23 @@
     }
 
     /// The stream can be stopped, go on wherever it is sent next, and still end in time.
-    fn bears(&self, held: &Held, server: ids::Server, now: Instant) -> bool {
+    fn bears(&self, pending: &Pending, server: ids::Server, now: Instant) -> bool {
         let known = self.servers.get(server);
         // A place at a straggler buys no target.
-        let pace = self.pools[held.pool].interval * STRAGGLER;
+        let pace = self.pools[pending.pool].interval * STRAGGLER;
         let buys = |known: &server::State| known.interval() <= pace && self.filled(known, now);
-        let left = held.request.deadline.saturating_duration_since(now).as_secs_f64();
-        let needed = self.pools[held.pool].service(self.rest(held, 0.5)) * SLACK;
+        let left = pending.request.deadline.saturating_duration_since(now).as_secs_f64();
+        let needed = self.pools[pending.pool].service(self.rest(pending, 0.5)) * SLACK;
         // What a class gets once in its longest wait is an answer, not the start of one.
-        let spare = !held.stopping && !held.overdue && held.stops < STOPS && needed < left;
-        spare && known.is_some_and(buys) && self.goes_on(held)
+        let spare = !pending.stopping && !pending.overdue && pending.stops < STOPS && needed < left;
+        spare && known.is_some_and(buys) && self.goes_on(pending)
     }
 
     /// Its attempt may be broken off, and any server that it could be sent to next takes it up where
     /// it stopped. Sent to one that can't, it would end as a broken answer without any fault.
-    fn goes_on(&self, held: &Held) -> bool {
-        let servers = self.pools[held.pool].servers.iter().map(|key| &self.servers[*key]);
+    fn goes_on(&self, pending: &Pending) -> bool {
+        let servers = self.pools[pending.pool].servers.iter().map(|key| &self.servers[*key]);
         let mut open = servers.filter(|known| !known.leaving());
-        held.request.idempotent && open.all(|known| known.terms.resumes)
+        pending.request.idempotent && open.all(|known| known.terms.resumes)
     }
 }
