--- a/components/policy/src/prefill.rs
+++ b/components/policy/src/prefill.rs
@@ -24,11 +24,11 @@
 /// A prompt whose first token came.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct FirstToken {
-    pub(crate) rank: u8,
-    /// Seconds that it was taken to be read in.
-    pub(crate) seconds: f64,
-    /// Seconds of other prompts that were known to be read before it.
-    pub(crate) ahead: f64,
+    pub(crate) priority: u8,
+    /// Estimated seconds of its prefill.
+    pub(crate) prefill: f64,
+    /// Seconds of other prompts that were known to be prefilled before it.
+    pub(crate) queued_ahead: f64,
     /// Seconds from its send to its first token.
     pub(crate) took: f64,
 }
@@ -127,7 +127,7 @@
     /// A prompt's first token came so long after it was sent, when so much was known to be read
     /// before it.
     pub(crate) fn record_first_token(&mut self, prompt: FirstToken, now: Instant) {
-        let FirstToken { rank, seconds, ahead, took } = prompt;
+        let FirstToken { priority: rank, prefill: seconds, queued_ahead: ahead, took } = prompt;
         self.prompt_done(rank, seconds);
         let rest = (took - seconds).max(0.0);
         let least = self.least.map_or(rest, |least| (least * (1.0 + RISE)).min(rest));
--- a/components/policy/src/prefill/tests.rs
+++ b/components/policy/src/prefill/tests.rs
@@ -9,7 +9,10 @@
     let (mut reading, now) = (Estimator::default(), Instant::now());
     reading.sent(0, 0.5);
     assert!(reading.backlog(0, now) >= 0.5);
-    reading.record_first_token(FirstToken { rank: 0, seconds: 0.5, ahead: 0.0, took: 0.6 }, now);
+    reading.record_first_token(
+        FirstToken { priority: 0, prefill: 0.5, queued_ahead: 0.0, took: 0.6 },
+        now,
+    );
     assert!(reading.backlog(0, now) < 0.1);
 }
 
@@ -19,13 +22,17 @@
 fn late_first_tokens_tell_of_work_that_others_sent() {
     let (mut reading, now) = (Estimator::default(), Instant::now());
     for _ in 0..20 {
-        reading
-            .record_first_token(FirstToken { rank: 0, seconds: 0.0, ahead: 0.0, took: 0.1 }, now);
+        reading.record_first_token(
+            FirstToken { priority: 0, prefill: 0.0, queued_ahead: 0.0, took: 0.1 },
+            now,
+        );
     }
     assert!(reading.backlog(0, now) < 0.05);
     for _ in 0..3 {
-        reading
-            .record_first_token(FirstToken { rank: 0, seconds: 0.0, ahead: 0.0, took: 1.1 }, now);
+        reading.record_first_token(
+            FirstToken { priority: 0, prefill: 0.0, queued_ahead: 0.0, took: 1.1 },
+            now,
+        );
     }
     assert!(reading.backlog(0, now) > 0.5);
     assert!(reading.backlog(0, now + Duration::from_secs(5)) < 0.01);
@@ -59,12 +66,17 @@
 #[test]
 fn waits_of_less_urgent_prompts_tell_nothing() {
     let (mut reading, now) = (Estimator::default(), Instant::now());
-    for rank in [0, 6] {
-        reading.record_first_token(FirstToken { rank, seconds: 0.0, ahead: 0.0, took: 0.1 }, now);
+    for priority in [0, 6] {
+        reading.record_first_token(
+            FirstToken { priority, prefill: 0.0, queued_ahead: 0.0, took: 0.1 },
+            now,
+        );
     }
     for _ in 0..10 {
-        reading
-            .record_first_token(FirstToken { rank: 6, seconds: 0.0, ahead: 0.0, took: 5.1 }, now);
+        reading.record_first_token(
+            FirstToken { priority: 6, prefill: 0.0, queued_ahead: 0.0, took: 5.1 },
+            now,
+        );
     }
     assert!(reading.backlog(0, now) < 0.01);
     assert!(reading.backlog(6, now) > 3.0);
