--- a/components/forward/src/attempt.rs
+++ b/components/forward/src/attempt.rs
@@ -69,7 +69,7 @@
         match self {
             Trouble::Unreached(_) | Trouble::Misdirected => Ending::Unreached,
             Trouble::Declined(_) => Ending::NotRun,
-            Trouble::Failed(_) => Ending::Faulty,
+            Trouble::Failed(_) => Ending::ServerError,
             Trouble::Lost(_) | Trouble::Disorder(_) | Trouble::Late => Ending::Failed,
         }
     }
--- a/components/forward/src/gossip.rs
+++ b/components/forward/src/gossip.rs
@@ -267,10 +267,12 @@
     let load = |backlog: Backlog| {
         Some(Load {
             server: wire::key(&names.server(backlog.server)?.name),
-            reading_ms: by_rank(&backlog.reading, MILLIS),
+            reading_ms: by_rank(&backlog.prefill, MILLIS),
             overdue_ms: by_rank(&backlog.overdue, MILLIS),
-            taken: by_rank(&backlog.taken, 1.0),
-            begun_ms: backlog.begun.map(|age| age.as_millis().try_into().unwrap_or(u32::MAX)),
+            taken: by_rank(&backlog.occupied, 1.0),
+            begun_ms: backlog
+                .since_first_token
+                .map(|age| age.as_millis().try_into().unwrap_or(u32::MAX)),
         })
     };
     backlogs.into_iter().filter_map(load).collect()
@@ -312,10 +314,10 @@
     let backlog = |load: &Load| {
         Some(Backlog {
             server: names.keyed(load.server)?,
-            reading: load.reading_ms.iter().map(seconds).collect(),
+            prefill: load.reading_ms.iter().map(seconds).collect(),
             overdue: load.overdue_ms.iter().map(seconds).collect(),
-            taken: load.taken.iter().map(|places| f64::from(*places)).collect(),
-            begun: load.begun_ms.map(|ms| Duration::from_millis(ms.into())),
+            occupied: load.taken.iter().map(|places| f64::from(*places)).collect(),
+            since_first_token: load.begun_ms.map(|ms| Duration::from_millis(ms.into())),
         })
     };
     let backlogs: Vec<_> = loads.iter().filter_map(backlog).collect();
--- a/components/forward/src/limits.rs
+++ b/components/forward/src/limits.rs
@@ -83,7 +83,7 @@
     let mut scheduler = state.turns.scheduler.borrow_mut();
     for named in state.limits.throttle.borrow().all() {
         if let Some(server) = names.keyed(named.server) {
-            scheduler.set_limited(server, named.rate.is_some());
+            scheduler.set_rate_limited(server, named.rate.is_some());
         }
     }
 }
@@ -94,7 +94,7 @@
     let names = state.names.borrow();
     for (server, count) in permits {
         if let Some(server) = names.keyed(*server) {
-            state.turns.scheduler.borrow_mut().permit(server, *count, now);
+            state.turns.scheduler.borrow_mut().add_permits(server, *count, now);
         }
     }
     drop(names);
--- a/components/forward/src/names.rs
+++ b/components/forward/src/names.rs
@@ -119,7 +119,7 @@
             models,
             leaving: entry.leaving,
             resumes: true,
-            reads: entry.engine.then_some(READS),
+            prefill_rate: entry.engine.then_some(READS),
             fetch: self.fetch(&entry.service),
         }
     }
@@ -127,7 +127,7 @@
     /// How an engine of a service takes over prompts from others.
     fn fetch(&self, service: &str) -> Option<policy::Fetch> {
         let tokens = *self.fetches.get(service)?;
-        Some(policy::Fetch { tokens, setup: SETUP })
+        Some(policy::Fetch { tokens_per_second: tokens, setup: SETUP })
     }
 
     /// Tells the decisions of a server that is gone.
@@ -226,7 +226,7 @@
     let event = service.map_or(1, |service| service.event_tokens.max(1));
     policy::Class {
         tier: route.tier_of(rank),
-        urgency: route.urgency_of(rank),
+        priority: route.urgency_of(rank),
         weight: 1,
         first_token: route.target,
         token_interval: route.pause.unwrap_or(route.target) / event,
--- a/components/forward/src/operators.rs
+++ b/components/forward/src/operators.rs
@@ -31,15 +31,15 @@
     let scheduler = state.turns.scheduler.borrow();
     let names = state.names.borrow();
     let servers = names.servers().map(|(key, entry)| {
-        let belief = scheduler.belief(key, now);
+        let status = scheduler.status(key, now);
         serde_json::json!({
             "name": entry.name,
             "service": entry.service,
             "domain": entry.domain,
             "address": entry.address,
             "leaving": entry.leaving,
-            "sent": belief.as_ref().map(|belief| belief.sent),
-            "unused": belief.and_then(|belief| belief.unused).map(|unused| unused.as_str()),
+            "sent": status.as_ref().map(|status| status.sent),
+            "unused": status.and_then(|status| status.unused).map(|unused| unused.as_str()),
         })
     });
     serde_json::json!({
--- a/components/forward/src/serve.rs
+++ b/components/forward/src/serve.rs
@@ -229,8 +229,8 @@
             tier = job.found.tier(),
             server = server, outcome = outcome, status = status, took_ms = millis(time),
             first_ms = first.map(millis), pause_ms = millis(*longest), sends = sends,
-            sent_ms = sent.map(millis), home = expected.map(|expected| expected.home),
-            reading_ms = expected.map(|expected| millis(expected.reading)),
+            sent_ms = sent.map(millis), home = expected.map(|expected| expected.preferred),
+            reading_ms = expected.map(|expected| millis(expected.prefill)),
             backlog_ms = expected.map(|expected| millis(expected.backlog)),
             ahead_ms = expected.map(|expected| millis(expected.ahead)),
             overdue_ms = expected.map(|expected| millis(expected.overdue)),
@@ -296,7 +296,7 @@
     fn pass(mut self, sending: Sending, start: Start) -> Answer {
         let mut source = match start {
             Start::Whole(whole) => {
-                self.place.end(Ending::Whole);
+                self.place.end(Ending::Completed);
                 sending.complete();
                 return self.whole(whole);
             }
--- a/components/forward/src/state.rs
+++ b/components/forward/src/state.rs
@@ -114,13 +114,13 @@
         let clock = clock::Runtime::new();
         let seed = xxhash_rust::xxh3::xxh3_64(node.name.as_bytes());
         let mut scheduler = Scheduler::with_seed(seed)
-            .without(Mechanism::Fit)
-            .without(Mechanism::EarlyRefusal)
-            .without(Mechanism::Stopping);
+            .with_disabled(Mechanism::Fit)
+            .with_disabled(Mechanism::EarlyRefusal)
+            .with_disabled(Mechanism::Stopping);
         scheduler.set_limits(limits(&node));
         let without = node.left_out();
         for mechanism in &without.decisions {
-            scheduler = scheduler.without(*mechanism);
+            scheduler = scheduler.with_disabled(*mechanism);
         }
         let mut names = Names::default();
         let region = names.region(node.region());
@@ -209,7 +209,7 @@
 
     /// Work of this node at engines of late.
     pub(crate) fn own_work(&self) -> Work {
-        let [strict, steady, bulk] = self.turns.scheduler.borrow().engaged_of_late();
+        let [strict, steady, bulk] = self.turns.scheduler.borrow().recent_engine_seconds();
         let millis = |seconds: f64| (seconds * 1_000.0) as u32;
         let kib_per_s = self.crossing.kib_per_s(self.clock.now());
         let (strict_ms, steady_ms, bulk_ms) = (millis(strict), millis(steady), millis(bulk));
@@ -227,11 +227,11 @@
         self.fleet_nodes.set(work.nodes.max(1));
         let bounded = self.without.has(Own::Crossing);
         let crosses = !bounded || self.crossing.allowed(work.kib_per_s);
-        self.turns.scheduler.borrow_mut().set_crossing(crosses);
+        self.turns.scheduler.borrow_mut().set_cross_region(crosses);
         if work.nodes > 1 {
             let groups = [work.strict_ms, work.steady_ms, work.bulk_ms];
             let seconds = groups.map(|millis| f64::from(millis) / 1_000.0);
-            self.turns.scheduler.borrow_mut().set_fleet(seconds, self.clock.now());
+            self.turns.scheduler.borrow_mut().set_fleet_engine_seconds(seconds, self.clock.now());
         }
     }
 
--- a/components/forward/src/stream.rs
+++ b/components/forward/src/stream.rs
@@ -106,7 +106,7 @@
 
     fn whole(&mut self) -> Option<io::Result<Bytes>> {
         let life = self.life.take()?;
-        self.course.place.end(Ending::Whole);
+        self.course.place.end(Ending::Completed);
         self.tokens = 0;
         if let Some(source) = self.source.take() {
             let status = source.status.as_u16();
--- a/components/policy/benches/decision.rs
+++ b/components/policy/benches/decision.rs
@@ -50,11 +50,11 @@
         for action in self.actions.drain(..) {
             match action {
                 Action::Send { job, .. } => {
-                    self.fixture.scheduler.tokens(job, 1, self.fixture.now);
+                    self.fixture.scheduler.record_tokens(job, 1, self.fixture.now);
                     self.sent.push_back(job);
                 }
                 Action::Stop { job } => {
-                    self.fixture.scheduler.ended(job, Ending::Stopped, self.fixture.now);
+                    self.fixture.scheduler.attempt_ended(job, Ending::Stopped, self.fixture.now);
                     self.sent.retain(|sent| *sent != job);
                 }
                 Action::Refuse { .. } => {}
@@ -65,7 +65,7 @@
     fn decide(&mut self) {
         self.fixture.now += APART;
         let job = self.sent.pop_front().expect("places are taken");
-        self.fixture.scheduler.ended(job, Ending::Whole, self.fixture.now);
+        self.fixture.scheduler.attempt_ended(job, Ending::Completed, self.fixture.now);
         self.submit();
         self.poll();
         black_box(&self.sent);
--- a/components/policy/examples/patterns/driver/baseline.rs
+++ b/components/policy/examples/patterns/driver/baseline.rs
@@ -85,17 +85,17 @@
     }
 
     fn poll(&mut self, now: Instant, actions: &mut Vec<Action>) {
-        let again = Duration::from_secs(1);
+        let retry_after = Duration::from_secs(1);
         for (job, refusal) in std::mem::take(&mut self.refused) {
             self.jobs.remove(job);
-            actions.push(Action::Refuse { job, refusal, again });
+            actions.push(Action::Refuse { job, refusal, retry_after });
         }
         while let Some(place) = self.queue.first().copied() {
             let job = place.2;
             if self.jobs[job].request.deadline <= now {
                 self.queue.remove(&place);
                 self.jobs.remove(job);
-                actions.push(Action::Refuse { job, refusal: Refusal::Late, again });
+                actions.push(Action::Refuse { job, refusal: Refusal::Late, retry_after });
                 continue;
             }
             let Some(index) = self.choose() else { return };
@@ -108,13 +108,13 @@
         }
     }
 
-    fn due(&self) -> Option<Instant> {
+    fn next_due(&self) -> Option<Instant> {
         None
     }
 
-    fn tokens(&mut self, _job: ids::Job, _count: u32, _now: Instant) {}
+    fn record_tokens(&mut self, _job: ids::Job, _count: u32, _now: Instant) {}
 
-    fn ended(&mut self, job: ids::Job, ending: Ending, _now: Instant) -> bool {
+    fn attempt_ended(&mut self, job: ids::Job, ending: Ending, _now: Instant) -> bool {
         let Some(held) = self.jobs.get_mut(job) else { return false };
         if let Some(index) = held.server.take() {
             self.servers[index].sent -= 1;
@@ -140,10 +140,10 @@
         }
     }
 
-    fn report(&mut self, server: ids::Server, report: Report, _now: Instant) {
+    fn record_report(&mut self, server: ids::Server, report: Report, _now: Instant) {
         let known = self.servers.iter_mut().find(|known| known.key == server);
         known.expect("a known server").reported = report.running + report.queued;
     }
 
-    fn share(&mut self, _server: ids::Server, _share: Share, _now: Instant) {}
+    fn set_share(&mut self, _server: ids::Server, _share: Share, _now: Instant) {}
 }
--- a/components/policy/examples/patterns/driver/node.rs
+++ b/components/policy/examples/patterns/driver/node.rs
@@ -94,7 +94,7 @@
             Chooser::Godwitlever(without) => {
                 let scheduler = Scheduler::with_seed(seed);
                 let scheduler = match without {
-                    Some(mechanism) => scheduler.without(mechanism),
+                    Some(mechanism) => scheduler.with_disabled(mechanism),
                     None => scheduler,
                 };
                 Box::new(set(scheduler, keys, classes))
@@ -127,7 +127,11 @@
             let pool = Pool::new(server as u32 * 7_919, SLOTS, Duration::from_secs_f64(own.at));
             let share = pool.share(&mine, need, &peers);
             let (places, sent, waiting) = (share.places, share.sent, share.waiting);
-            self.policy.share(keys.servers[server], Share { places, sent, waiting }, now);
+            self.policy.set_share(
+                keys.servers[server],
+                Share { slots: places, sent, waiting },
+                now,
+            );
         }
     }
 }
@@ -135,7 +139,7 @@
 fn classes() -> impl Iterator<Item = Class> {
     CLASSES.iter().map(|class| Class {
         tier: class.tier,
-        urgency: class.tier,
+        priority: class.tier,
         weight: class.weight,
         first_token: Duration::from_secs_f64(class.first_token),
         token_interval: Duration::from_millis(50),
@@ -152,7 +156,7 @@
 ) -> Scheduler {
     scheduler.set_limits(Limits {
         retry_percent: 10,
-        retry_burst: policy::RETRIES,
+        retry_burst: policy::RETRY_BURST,
         link_bytes: 200_000,
     });
     for (key, class) in classes {
@@ -171,7 +175,7 @@
             models: vec![keys.model],
             leaving: false,
             resumes: true,
-            reads: None,
+            prefill_rate: None,
             fetch: None,
         };
         scheduler.set_server(*key, server);
--- a/components/policy/examples/patterns/driver/world.rs
+++ b/components/policy/examples/patterns/driver/world.rs
@@ -215,7 +215,7 @@
             Event::Report(node, server, made, mut report) => {
                 report.at = self.instant(made);
                 let now = self.clock();
-                self.nodes[node].policy.report(self.keys.servers[server], report, now);
+                self.nodes[node].policy.record_report(self.keys.servers[server], report, now);
             }
             Event::Publish => self.publish(),
             Event::Heard(node, from, word) => self.nodes[node].heard[from] = Some(word),
@@ -281,7 +281,7 @@
                 Action::Stop { job } => self.stopped(node, job),
             }
         }
-        if let Some(due) = self.nodes[node].policy.due() {
+        if let Some(due) = self.nodes[node].policy.next_due() {
             let at = (due - self.start).as_secs_f64().max(self.now + 0.001);
             let planned = self.nodes[node].planned;
             if planned <= self.now || at < planned {
@@ -395,9 +395,9 @@
         if region(node) != server_region(server) {
             track.bytes += u64::from(count) * EVENT_BYTES;
         }
-        self.nodes[node].policy.tokens(track.job.expect("a sent job"), count, now);
+        self.nodes[node].policy.record_tokens(track.job.expect("a sent job"), count, now);
         if whole {
-            self.ended(call, Ending::Whole);
+            self.ended(call, Ending::Completed);
         }
     }
 
@@ -406,13 +406,13 @@
         let Some(server) = self.tracks[call].server.take() else { return };
         self.nodes[node].sent[server] -= 1;
         let job = self.tracks[call].job.expect("a sent job");
-        let again = self.nodes[node].policy.ended(job, ending, now);
+        let again = self.nodes[node].policy.attempt_ended(job, ending, now);
         if again {
             return;
         }
         self.jobs[node].remove(&job);
         let deadline = self.calls[call].at + CLASSES[self.calls[call].class].deadline;
-        let whole = ending == Ending::Whole && self.now <= deadline;
+        let whole = ending == Ending::Completed && self.now <= deadline;
         self.settle(call, if whole { Fate::Whole } else { Fate::Lost });
     }
 
--- a/components/policy/src/action.rs
+++ b/components/policy/src/action.rs
@@ -22,7 +22,7 @@
     /// How an attempt ended.
     pub enum Ending {
         /// The whole answer came.
-        Whole,
+        Completed,
         /// Provably nothing ran: no connection, or the server said so.
         NotRun,
         /// It never reached the server, so it cost nobody anything: no attempt is counted, and no
@@ -31,7 +31,7 @@
         /// It may have run and the answer isn't whole.
         Failed,
         /// It ran, and the server said that it failed. What is wrong may be the request.
-        Faulty,
+        ServerError,
         /// The caller went away.
         Cancelled,
         /// Stopped as [`Action::Stop`] asked; what was produced is kept.
@@ -54,10 +54,10 @@
             /// Why.
             refusal: Refusal,
             /// When it is worth trying again.
-            again: Duration,
+            retry_after: Duration,
         },
         /// Stop the attempt of a job that was sent, for the sake of a higher tier; it waits again
-        /// and goes on elsewhere with what was produced. Answered by [`Policy::ended`] with
+        /// and goes on elsewhere with what was produced. Answered by [`Policy::attempt_ended`] with
         /// [`Ending::Stopped`].
         Stop {
             /// The job.
@@ -73,17 +73,17 @@
     /// Appends what is to be done now.
     fn poll(&mut self, now: Instant, actions: &mut Vec<Action>);
     /// When [`Policy::poll`] is next due though nothing else happens.
-    fn due(&self) -> Option<Instant>;
+    fn next_due(&self) -> Option<Instant>;
     /// Tokens of a sent job came; the first call tells of the first token.
-    fn tokens(&mut self, job: ids::Job, count: u32, now: Instant);
+    fn record_tokens(&mut self, job: ids::Job, count: u32, now: Instant);
     /// The attempt ended. Returns whether the job waits again; if not, it is forgotten.
-    fn ended(&mut self, job: ids::Job, ending: Ending, now: Instant) -> bool;
+    fn attempt_ended(&mut self, job: ids::Job, ending: Ending, now: Instant) -> bool;
     /// The caller of a job that waits went away.
     fn withdraw(&mut self, job: ids::Job, now: Instant);
     /// A load report came.
-    fn report(&mut self, server: ids::Server, report: Report, now: Instant);
+    fn record_report(&mut self, server: ids::Server, report: Report, now: Instant);
     /// What this node may put on a server changed.
-    fn share(&mut self, server: ids::Server, share: Share, now: Instant);
+    fn set_share(&mut self, server: ids::Server, share: Share, now: Instant);
     /// Work by class, for peers to divide places by. Ways that don't share tell nothing.
     fn demand(&self) -> Vec<Demand> {
         vec![]
--- a/components/policy/src/attempt.rs
+++ b/components/policy/src/attempt.rs
@@ -56,15 +56,15 @@
             Ending::Stopped => return true,
             Ending::Unreached => return now < pending.last_call,
             Ending::NotRun => true,
-            Ending::Failed | Ending::Faulty => pending.request.idempotent,
-            Ending::Whole | Ending::Cancelled => false,
+            Ending::Failed | Ending::ServerError => pending.request.idempotent,
+            Ending::Completed | Ending::Cancelled => false,
         };
         let model = pending.request.model;
         let attempts = self.classes.get(pending.request.class).map_or(1, |class| class.attempts);
         if !repeatable || pending.attempts >= attempts || now >= pending.last_call {
             return false;
         }
-        !self.without.has(Mechanism::RetryBudget) || self.retries(model).take(1.0)
+        !self.disabled.has(Mechanism::RetryBudget) || self.retries(model).take(1.0)
     }
 
     /// Takes the place of an ended attempt back and puts its charge right.
@@ -81,14 +81,14 @@
             }
             known.reading.over(urgency, reading);
             if !matches!(ending, Ending::Cancelled | Ending::Stopped) {
-                known.health.ended(ending == Ending::Whole, now);
+                known.health.ended(ending == Ending::Completed, now);
             }
             match ending {
-                Ending::Whole => known.health.good(),
+                Ending::Completed => known.health.good(),
                 Ending::NotRun | Ending::Unreached | Ending::Failed => {
                     known.health.failed(now, jitter);
                 }
-                Ending::Cancelled | Ending::Stopped | Ending::Faulty => {}
+                Ending::Cancelled | Ending::Stopped | Ending::ServerError => {}
             }
         }
         let pending = &mut self.jobs[job];
@@ -102,7 +102,7 @@
         pending.last_token = None;
         let produced = pending.produced;
         self.charge(class, workspace, change);
-        if ending == Ending::Whole && produced > 0 {
+        if ending == Ending::Completed && produced > 0 {
             self.lengths.add(class, workspace, produced);
         }
         if let Some(count) = self.in_flight.get_mut(workspace) {
--- a/components/policy/src/backlog.rs
+++ b/components/policy/src/backlog.rs
@@ -17,9 +17,9 @@
 const LATELY: Duration = Duration::from_secs(1);
 
 fn worth_telling(told: &Backlog) -> bool {
-    let seconds: f64 = told.reading.iter().chain(&told.overdue).sum();
-    let taken: f64 = told.taken.iter().sum();
-    seconds > WORTH || taken > 0.0 || told.begun.is_some_and(|age| age < LATELY)
+    let seconds: f64 = told.prefill.iter().chain(&told.overdue).sum();
+    let taken: f64 = told.occupied.iter().sum();
+    seconds > WORTH || taken > 0.0 || told.since_first_token.is_some_and(|age| age < LATELY)
 }
 
 impl Scheduler {
@@ -29,13 +29,16 @@
     /// assert!(policy::Scheduler::new().backlogs(std::time::Instant::now()).is_empty());
     /// ```
     pub fn backlogs(&self, now: Instant) -> Vec<Backlog> {
-        let engines = self.servers.iter().filter(|(_, known)| known.terms.reads.is_some());
+        let engines = self.servers.iter().filter(|(_, known)| known.terms.prefill_rate.is_some());
         let told = engines.map(|(server, known)| Backlog {
             server,
-            reading: known.reading.own().to_vec(),
+            prefill: known.reading.own().to_vec(),
             overdue: self.overdue_here(known, now).to_vec(),
-            taken: known.taken.to_vec(),
-            begun: known.reading.begun_here().map(|begun| now.saturating_duration_since(begun)),
+            occupied: known.taken.to_vec(),
+            since_first_token: known
+                .reading
+                .begun_here()
+                .map(|begun| now.saturating_duration_since(begun)),
         });
         told.filter(worth_telling).collect()
     }
@@ -43,16 +46,16 @@
     /// Takes in what all other nodes' prompts take engines still to read, and what they saw of engines.
     /// Those that aren't named have nothing to speak of.
     pub fn set_backlogs(&mut self, others: &[Backlog], now: Instant) {
-        for known in self.servers.values_mut().filter(|known| known.terms.reads.is_some()) {
+        for known in self.servers.values_mut().filter(|known| known.terms.prefill_rate.is_some()) {
             known.reading.received(Others::default(), now);
         }
         for told in others {
             let Some(known) = self.servers.get_mut(told.server) else { continue };
             let others = Others {
-                work: told.reading.as_slice().into(),
+                work: told.prefill.as_slice().into(),
                 overdue: told.overdue.as_slice().into(),
-                taken: told.taken.as_slice().into(),
-                begun: told.begun.and_then(|age| now.checked_sub(age)),
+                taken: told.occupied.as_slice().into(),
+                begun: told.since_first_token.and_then(|age| now.checked_sub(age)),
             };
             known.reading.received(others, now);
         }
--- a/components/policy/src/copies.rs
+++ b/components/policy/src/copies.rs
@@ -76,13 +76,13 @@
         });
         let near =
             |source: &ids::Server| self.servers[*source].terms.region == pending.request.region;
-        let source = sound.max_by_key(near).filter(|_| self.without.has(Mechanism::Fetching));
+        let source = sound.max_by_key(near).filter(|_| self.disabled.has(Mechanism::Fetching));
         Copies { homes, known, source }
     }
 
     /// Tokens of a prompt's beginning that an engine keeps.
     fn kept(&self, pending: &Pending, server: ids::Server, now: Instant) -> u32 {
-        if !self.without.has(Mechanism::Holdings) {
+        if !self.disabled.has(Mechanism::Holdings) {
             return 0;
         }
         self.prefixes.kept(&pending.request.shared, server, now)
@@ -96,7 +96,7 @@
         copies: &Copies,
         now: Instant,
     ) -> Option<Prefill> {
-        let reads = f64::from(self.servers[at].terms.reads?.max(1));
+        let reads = f64::from(self.servers[at].terms.prefill_rate?.max(1));
         let time = |from: u32, to: u32| reading_time(from, to, reads);
         let (shared, prompt) = (pending.request.shared_tokens(), pending.request.prompt_tokens);
         let place = copies.homes.iter().position(|home| *home == Some(at));
@@ -129,6 +129,9 @@
     /// Seconds in which an engine takes over the beginning of a prompt; none where it can't.
     fn fetching(&self, pending: &Pending, at: ids::Server) -> Option<f64> {
         let way = self.servers[at].terms.fetch?;
-        Some(way.setup.as_secs_f64() + f64::from(pending.request.shared_tokens()) / way.tokens)
+        Some(
+            way.setup.as_secs_f64()
+                + f64::from(pending.request.shared_tokens()) / way.tokens_per_second,
+        )
     }
 }
--- a/components/policy/src/dispatch.rs
+++ b/components/policy/src/dispatch.rs
@@ -72,7 +72,7 @@
         for key in self.pools.keys().collect::<Vec<_>>() {
             self.part(key, now);
             self.measure(key);
-            if self.without.has(Mechanism::EarlyRefusal) {
+            if self.disabled.has(Mechanism::EarlyRefusal) {
                 self.trim(key, now);
             }
         }
@@ -100,7 +100,7 @@
                 continue;
             }
             let shared = users.iter().filter(|user| self.pools[**user].servers.contains(server));
-            let places = f64::from(known.places(self.without));
+            let places = f64::from(known.places(self.disabled));
             rate += places / known.interval() / shared.count() as f64;
             intervals.push(known.interval());
             firsts.extend(known.first());
@@ -191,7 +191,7 @@
     }
 
     fn overdue(&self, line: &Line, now: Instant) -> bool {
-        if !self.without.has(Mechanism::LongestWait) {
+        if !self.disabled.has(Mechanism::LongestWait) {
             return false;
         }
         let since = self.turns.get(line.class).and_then(|turn| turn.since);
@@ -212,7 +212,7 @@
             return Choice::Server(chosen.server);
         }
         let mut candidates = std::mem::take(&mut self.scratch);
-        let (pending, without) = (&self.jobs[job], self.without);
+        let (pending, without) = (&self.jobs[job], self.disabled);
         let free = self.candidates(&mut candidates, pending, overdue, now);
         let picked = pick::pick(&candidates, pending.request.prefix, &mut self.rng, without);
         let choice = picked.map_or(if free { Choice::Busy } else { Choice::Full }, Choice::Server);
@@ -236,7 +236,7 @@
         let ejected = pool.servers.iter().filter(|key| self.ejected(**key, now)).count();
         // All of a pool out at once says more about this node than about the servers.
         let panic = ejected == pool.servers.len();
-        let link = self.without.has(Mechanism::Link);
+        let link = self.disabled.has(Mechanism::Link);
         let urgent = self.urgent(pending, now);
         let (mut near, mut far, mut free) = (false, 0, false);
         for key in &pool.servers {
@@ -246,9 +246,9 @@
             }
             let here = known.terms.region == pending.request.region;
             near |= here && !known.leaving() && !self.ejected(*key, now);
-            let place = known.free(self.without);
+            let place = known.free(self.disabled);
             free |= place;
-            let beyond = !place && urgent && known.roomy(now, self.without);
+            let beyond = !place && urgent && known.roomy(now, self.disabled);
             if !place && !beyond {
                 continue;
             }
@@ -258,19 +258,20 @@
             let interval = known.interval();
             let straggles = interval > pool.interval * STRAGGLER;
             let tokens = if straggles { safe } else { rest };
-            let load = known.load(now, self.without);
+            let load = known.load(now, self.disabled);
             let over = (load + 1.0 - f64::from(known.slots())).max(0.0);
             let queue = over * pool.service(USUAL) / f64::from(known.slots().max(1));
             let time = queue + known.first().unwrap_or(pool.first) + interval * f64::from(tokens);
-            if time > left && !overdue && self.without.has(Mechanism::Fit) {
+            if time > left && !overdue && self.disabled.has(Mechanism::Fit) {
                 continue;
             }
             let load = load / f64::from(known.slots().max(1));
-            let hangs = if known.terms.reads.is_some() || !self.without.has(Mechanism::Ejection) {
-                0.0
-            } else {
-                self.hangs(known, now)
-            };
+            let hangs =
+                if known.terms.prefill_rate.is_some() || !self.disabled.has(Mechanism::Ejection) {
+                    0.0
+                } else {
+                    self.hangs(known, now)
+                };
             let time = time * (1.0 + self.faults(known, now) * FAULTY) + hangs;
             let candidate = Candidate { server: *key, salt: known.terms.salt, load, time };
             if here || !link {
@@ -297,7 +298,7 @@
 
     /// Whether a server takes requests of this tier now.
     fn takes(&self, known: &server::State, pending: &Pending, overdue: bool) -> bool {
-        let awaited = known.awaited(self.without).is_some_and(|waiting| waiting < pending.tier);
+        let awaited = known.awaited(self.disabled).is_some_and(|waiting| waiting < pending.tier);
         !known.leaving() && (!awaited || overdue)
     }
 
@@ -309,19 +310,19 @@
 
     /// Part of its attempts of late that failed.
     pub(crate) fn faults(&self, known: &server::State, now: Instant) -> f64 {
-        let told = self.without.has(Mechanism::Ejection) && self.without.has(Mechanism::Faults);
+        let told = self.disabled.has(Mechanism::Ejection) && self.disabled.has(Mechanism::Faults);
         if told { known.health.faults(now) } else { 0.0 }
     }
 
     pub(crate) fn ejected(&self, server: ids::Server, now: Instant) -> bool {
         let known = &self.servers[server];
-        self.without.has(Mechanism::Ejection) && (known.health.ejected(now) || known.silent(now))
+        self.disabled.has(Mechanism::Ejection) && (known.health.ejected(now) || known.silent(now))
     }
 
     pub(crate) fn barred(&self, server: ids::Server, now: Instant) -> bool {
         let known = &self.servers[server];
         let probed = known.health.probed() && known.sent > 0;
-        self.ejected(server, now) || (self.without.has(Mechanism::Ejection) && probed)
+        self.ejected(server, now) || (self.disabled.has(Mechanism::Ejection) && probed)
     }
 
     /// Whether a request may cross the link: it buys a target, and the budget bears it.
--- a/components/policy/src/engines.rs
+++ b/components/policy/src/engines.rs
@@ -85,15 +85,15 @@
     /// Whether it is known how fast the servers of a request read.
     pub(crate) fn reads(&self, pending: &Pending) -> bool {
         let servers = &self.pools[pending.pool].servers;
-        self.without.has(Mechanism::Reading)
-            && servers.iter().any(|key| self.servers[*key].terms.reads.is_some())
+        self.disabled.has(Mechanism::Reading)
+            && servers.iter().any(|key| self.servers[*key].terms.prefill_rate.is_some())
     }
 
     /// The engine for a request; none if none may take it now. The second part tells whether any had
     /// a place.
     pub(crate) fn engine(&self, pending: &Pending, now: Instant) -> (Option<Chosen>, bool) {
         let pool = &self.pools[pending.pool];
-        let grouped = self.without.has(Mechanism::Groups);
+        let grouped = self.disabled.has(Mechanism::Groups);
         let group = pool.isolation.group(self.pause(pending)).filter(|_| grouped);
         let homes = self.homes(pending, group, now);
         let copies = self.copies(pending, homes, now);
@@ -133,7 +133,7 @@
         let known = &self.servers[member.server];
         let avoided =
             pending.avoid == Some(member.server) && self.pools[pending.pool].members.len() > 1;
-        let room = known.free(self.without) && known.permitted(now);
+        let room = known.free(self.disabled) && known.permitted(now);
         room && !known.leaving() && !avoided
     }
 
@@ -146,14 +146,15 @@
         group: Option<Group>,
         now: Instant,
     ) -> [Option<ids::Server>; 2] {
-        if !self.without.has(Mechanism::Homes) {
+        if !self.disabled.has(Mechanism::Homes) {
             return [None; 2];
         }
         let pool = &self.pools[pending.pool];
         let weight = |member: &&Member| {
             let known = &self.servers[member.server];
             let shared = f64::from(pending.request.shared_tokens());
-            let dear = known.terms.reads.is_some_and(|reads| shared / f64::from(reads) > FAR);
+            let dear =
+                known.terms.prefill_rate.is_some_and(|reads| shared / f64::from(reads) > FAR);
             let crosses = dear && self.crosses;
             let near = crosses || known.terms.region == pending.request.region;
             let own = group
@@ -234,8 +235,8 @@
         pending.ahead = known.reading.ahead(pending.urgency, now);
         self.prefixes.sent(&pending.request, server, now);
         pending.expected = Some(Expected {
-            home,
-            reading: Duration::from_secs_f64(reading),
+            preferred: home,
+            prefill: Duration::from_secs_f64(reading),
             backlog: Duration::from_secs_f64(backlog),
             ahead: Duration::from_secs_f64(pending.ahead),
             overdue: Duration::from_secs_f64(overdue),
--- a/components/policy/src/lib.rs
+++ b/components/policy/src/lib.rs
@@ -7,7 +7,7 @@
 mod admit;
 mod attempt;
 mod backlog;
-mod belief;
+
 mod bucket;
 mod cache;
 mod copies;
@@ -34,18 +34,19 @@
 mod reading;
 mod scheduler;
 mod server;
+mod status;
 mod stop;
 mod terms;
 mod throttle;
 
 pub use action::{Action, Ending, Policy, Refusal};
-pub use belief::{Belief, Unused};
 pub use isolation::GROUPS;
 pub use mechanism::Mechanism;
 pub use pending::Expected;
 pub use quarantine::{Crash, Evidence, Quarantine};
 pub use quota::Wait;
-pub use scheduler::{RETRIES, Scheduler};
+pub use scheduler::{RETRY_BURST, Scheduler};
+pub use status::{Status, Unused};
 pub use terms::{
     Backlog, Cached, Class, Demand, Fetch, Limits, Part, Report, Request, Server, Share, Workspace,
 };
--- a/components/policy/src/pending.rs
+++ b/components/policy/src/pending.rs
@@ -27,9 +27,9 @@
     #[derive(Copy)]
     pub struct Expected {
         /// The engine is the home of the request's session.
-        pub home: bool,
+        pub preferred: bool,
         /// Time in which it reads the prompt.
-        pub reading: Duration,
+        pub prefill: Duration,
         /// Time until it begins to.
         pub backlog: Duration,
         /// Time that prompts take which are known to be read before it.
--- a/components/policy/src/quota.rs
+++ b/components/policy/src/quota.rs
@@ -18,9 +18,9 @@
     /// Work that waits, by model and tier.
     ///
     /// ```
-    /// assert!(policy::Scheduler::new().waits().is_empty());
+    /// assert!(policy::Scheduler::new().waits_by_model().is_empty());
     /// ```
-    pub fn waits(&self) -> Vec<Wait> {
+    pub fn waits_by_model(&self) -> Vec<Wait> {
         let mut waits: Vec<Wait> = vec![];
         for pool in self.pools.values() {
             for line in pool.lines.iter().filter(|line| line.len() > 0) {
--- a/components/policy/src/scheduler.rs
+++ b/components/policy/src/scheduler.rs
@@ -26,7 +26,7 @@
 
 /// Retries that may come at once, over what fresh work has earned: those of one server that crashes
 /// with its places full.
-pub const RETRIES: u32 = 16;
+pub const RETRY_BURST: u32 = 16;
 /// Bytes of the link that may be sent at once: two seconds' worth.
 const LINK_SECONDS: f64 = 2.0;
 
@@ -73,7 +73,7 @@
     pub(crate) top: u8,
     pub(crate) rng: SmallRng,
     pub(crate) jitter: places::Jitter,
-    pub(crate) without: Without,
+    pub(crate) disabled: Without,
     /// A session may have its home in another region.
     pub(crate) crosses: bool,
 }
@@ -115,7 +115,7 @@
             lengths: Lengths::default(),
             retries: SecondaryMap::new(),
             link: Bucket::new(0.0),
-            limits: Limits { retry_percent: 10, retry_burst: RETRIES, link_bytes: 1 << 20 },
+            limits: Limits { retry_percent: 10, retry_burst: RETRY_BURST, link_bytes: 1 << 20 },
             prefixes: cache::Index::default(),
             rate: places::Rate::default(),
             others: places::Others::default(),
@@ -131,7 +131,7 @@
             top: u8::MAX,
             rng: SmallRng::seed_from_u64(seed),
             jitter: places::Jitter::new(seed),
-            without: Without::default(),
+            disabled: Without::default(),
             crosses: true,
         }
         .with_limits()
@@ -145,11 +145,11 @@
     /// Leaves a mechanism out, to measure what it buys.
     ///
     /// ```
-    /// let scheduler = policy::Scheduler::with_seed(7).without(policy::Mechanism::Fairness);
+    /// let scheduler = policy::Scheduler::with_seed(7).with_disabled(policy::Mechanism::Fairness);
     /// assert_eq!(scheduler.waiting(), 0);
     /// ```
-    pub fn without(mut self, mechanism: Mechanism) -> Self {
-        self.without.leave_out(mechanism);
+    pub fn with_disabled(mut self, mechanism: Mechanism) -> Self {
+        self.disabled.leave_out(mechanism);
         self
     }
 
@@ -203,8 +203,8 @@
     }
 
     /// Says whether a backend server has named a rate limit. From then on it is sent nothing without a
-    /// permit of [`Scheduler::permit`].
-    pub fn set_limited(&mut self, key: ids::Server, limited: bool) {
+    /// permit of [`Scheduler::add_permits`].
+    pub fn set_rate_limited(&mut self, key: ids::Server, limited: bool) {
         let Some(known) = self.servers.get_mut(key) else { return };
         if known.permits.is_some() != limited {
             known.permits = limited.then(Permits::default);
@@ -213,7 +213,7 @@
     }
 
     /// Permits so many requests to a server that has named a rate limit, for a while.
-    pub fn permit(&mut self, key: ids::Server, count: u32, now: Instant) {
+    pub fn add_permits(&mut self, key: ids::Server, count: u32, now: Instant) {
         let known = self.servers.get_mut(key);
         if let Some(permits) = known.and_then(|known| known.permits.as_mut()) {
             permits.add(count, now);
@@ -271,7 +271,7 @@
     }
 
     /// Number of requests sent to a server that haven't ended.
-    pub fn sent(&self, server: ids::Server) -> u32 {
+    pub fn in_flight_at(&self, server: ids::Server) -> u32 {
         self.servers.get(server).map_or(0, |known| known.sent)
     }
 
@@ -279,21 +279,21 @@
     /// known to read. All fade in the same way, so those of several nodes can be added.
     ///
     /// ```
-    /// assert_eq!(policy::Scheduler::new().engaged_of_late(), [0.0; policy::GROUPS]);
+    /// assert_eq!(policy::Scheduler::new().recent_engine_seconds(), [0.0; policy::GROUPS]);
     /// ```
-    pub fn engaged_of_late(&self) -> [f64; GROUPS] {
+    pub fn recent_engine_seconds(&self) -> [f64; GROUPS] {
         let all = self.pools.values().map(|pool| pool.isolation.seconds());
         all.fold([0.0; GROUPS], |sum, own| std::array::from_fn(|group| sum[group] + own[group]))
     }
 
     /// Says whether a session may have its home in another region than its caller's.
-    pub fn set_crossing(&mut self, crosses: bool) {
+    pub fn set_cross_region(&mut self, crosses: bool) {
         self.crosses = crosses;
     }
 
-    /// Takes in the sum of [`Scheduler::engaged_of_late`] over all nodes.
-    pub fn set_fleet(&mut self, seconds: [f64; GROUPS], now: Instant) {
-        if !self.without.has(Mechanism::FleetWork) {
+    /// Takes in the sum of [`Scheduler::recent_engine_seconds`] over all nodes.
+    pub fn set_fleet_engine_seconds(&mut self, seconds: [f64; GROUPS], now: Instant) {
+        if !self.disabled.has(Mechanism::FleetWork) {
             return;
         }
         for pool in self.pools.values_mut() {
@@ -339,12 +339,12 @@
 
     /// The lane of a workspace; a single one for all when turns are left out.
     pub(crate) fn lane(&self, workspace: ids::Workspace) -> ids::Workspace {
-        if self.without.has(Mechanism::Fairness) { workspace } else { ids::Workspace::default() }
+        if self.disabled.has(Mechanism::Fairness) { workspace } else { ids::Workspace::default() }
     }
 
     /// Charges tokens to a workspace and puts its lanes where they belong.
     pub(crate) fn charge(&mut self, class: ids::Class, workspace: ids::Workspace, tokens: i64) {
-        if tokens == 0 || !self.without.has(Mechanism::Fairness) {
+        if tokens == 0 || !self.disabled.has(Mechanism::Fairness) {
             return;
         }
         let class_weight = self.classes.get(class).map_or(1, |class| class.weight);
@@ -421,18 +421,18 @@
         let ticks = self.tick(now);
         self.expire(now);
         self.dispatch(now, actions);
-        if ticks && self.without.has(Mechanism::Stopping) {
+        if ticks && self.disabled.has(Mechanism::Stopping) {
             self.stop(now, actions);
             self.rescue(now, actions);
         }
-        for (job, refusal, again) in std::mem::take(&mut self.refused) {
+        for (job, refusal, retry_after) in std::mem::take(&mut self.refused) {
             if self.forget(job).is_some() {
-                actions.push(Action::Refuse { job, refusal, again });
+                actions.push(Action::Refuse { job, refusal, retry_after });
             }
         }
     }
 
-    fn due(&self) -> Option<Instant> {
+    fn next_due(&self) -> Option<Instant> {
         if !self.refused.is_empty() {
             return self.ticked;
         }
@@ -442,7 +442,7 @@
         timer.into_iter().chain(tick).min()
     }
 
-    fn tokens(&mut self, job: ids::Job, count: u32, now: Instant) {
+    fn record_tokens(&mut self, job: ids::Job, count: u32, now: Instant) {
         let Some(pending) = self.jobs.get_mut(job) else { return };
         let Stage::Sent(server) = pending.stage else { return };
         pending.produced = pending.produced.saturating_add(count);
@@ -478,7 +478,7 @@
         self.charge(class, workspace, i64::from(more));
     }
 
-    fn ended(&mut self, job: ids::Job, ending: Ending, now: Instant) -> bool {
+    fn attempt_ended(&mut self, job: ids::Job, ending: Ending, now: Instant) -> bool {
         self.conclude(job, ending, now)
     }
 
@@ -486,7 +486,7 @@
         self.forget(job);
     }
 
-    fn report(&mut self, server: ids::Server, report: Report, now: Instant) {
+    fn record_report(&mut self, server: ids::Server, report: Report, now: Instant) {
         let Some(known) = self.servers.get_mut(server) else { return };
         let (interval, slots) = (report.token_interval.as_secs_f64(), known.slots());
         known.reported(report, now);
@@ -496,7 +496,7 @@
         self.epoch += 1;
     }
 
-    fn share(&mut self, server: ids::Server, share: Share, _now: Instant) {
+    fn set_share(&mut self, server: ids::Server, share: Share, _now: Instant) {
         let Some(known) = self.servers.get_mut(server) else { return };
         if known.share != Some(share) {
             known.share = Some(share);
--- a/components/policy/src/server.rs
+++ b/components/policy/src/server.rs
@@ -91,7 +91,7 @@
     pub(crate) fn places(&self, without: Without) -> u32 {
         let slots = self.slots();
         let shared = self.share.filter(|_| without.has(Mechanism::Sharing));
-        let places = shared.map_or(slots, |share| share.places.min(slots));
+        let places = shared.map_or(slots, |share| share.slots.min(slots));
         self.limit_of(places, without)
     }
 
--- a/components/policy/src/belief.rs
+++ b/components/policy/src/status.rs
@@ -24,11 +24,11 @@
     }
 
     /// What is believed of one backend server.
-    pub struct Belief {
+    pub struct Status {
         /// Requests of this node there.
         pub sent: u32,
         /// Requests that this node may have there at once.
-        pub places: u32,
+        pub slots: u32,
         /// Requests there in all, as far as can be told.
         pub load: f64,
         /// Time between tokens of a stream.
@@ -62,9 +62,9 @@
     /// ```
     /// let scheduler = policy::Scheduler::new();
     /// let now = std::time::Instant::now();
-    /// assert!(scheduler.belief(ids::Server::default(), now).is_none());
+    /// assert!(scheduler.status(ids::Server::default(), now).is_none());
     /// ```
-    pub fn belief(&self, server: ids::Server, now: Instant) -> Option<Belief> {
+    pub fn status(&self, server: ids::Server, now: Instant) -> Option<Status> {
         let known = self.servers.get(server)?;
         let pools = self.pools.values().filter(|pool| pool.servers.contains(&server));
         let usual = pools.map(|pool| pool.interval).reduce(f64::max);
@@ -72,17 +72,17 @@
             Some(Unused::Leaving)
         } else if self.ejected(server, now) {
             Some(Unused::Ejected)
-        } else if !known.free(self.without) {
+        } else if !known.free(self.disabled) {
             Some(Unused::Full)
         } else if usual.is_some_and(|usual| known.interval() > usual * STRAGGLER) {
             Some(Unused::Straggling)
         } else {
             None
         };
-        Some(Belief {
+        Some(Status {
             sent: known.sent,
-            places: known.places(self.without),
-            load: known.load(now, self.without),
+            slots: known.places(self.disabled),
+            load: known.load(now, self.disabled),
             interval: Duration::from_secs_f64(known.interval()),
             age: known.age(now),
             unused,
@@ -90,7 +90,7 @@
     }
 
     /// Requests held now, by class.
-    pub fn work(&self) -> Vec<Demand> {
+    pub fn current_demand(&self) -> Vec<Demand> {
         let mut all: SecondaryMap<ids::Class, Demand> = SecondaryMap::new();
         for pending in self.jobs.values() {
             let class = pending.request.class;
--- a/components/policy/src/stop.rs
+++ b/components/policy/src/stop.rs
@@ -132,8 +132,8 @@
 
     /// Whether a server has no place left for this node, as far as can be told.
     fn filled(&self, known: &server::State, now: Instant) -> bool {
-        let part = known.share.is_some() && known.sent >= known.places(self.without);
-        part || known.full() || known.load(now, self.without) + 1.0 > f64::from(known.slots())
+        let part = known.share.is_some() && known.sent >= known.places(self.disabled);
+        part || known.full() || known.load(now, self.disabled) + 1.0 > f64::from(known.slots())
     }
 
     /// The stream can be stopped, go on wherever it is sent next, and still end in time.
--- a/components/policy/src/terms.rs
+++ b/components/policy/src/terms.rs
@@ -8,7 +8,7 @@
         /// Rank of the tier; 0 is the highest.
         pub tier: u8,
         /// Rank of its requests at engines, which take those of a lower one first.
-        pub urgency: u8,
+        pub priority: u8,
         /// Share among the classes of a tier; at least 1.
         pub weight: u32,
         /// Target for the time to the first token.
@@ -51,7 +51,7 @@
         pub resumes: bool,
         /// Tokens of prompts that it reads in a second; none where that isn't known, or where it
         /// reads none.
-        pub reads: Option<u32>,
+        pub prefill_rate: Option<u32>,
         /// How fast it takes over what another engine keeps of a prompt; none where it can't.
         pub fetch: Option<Fetch>,
     }
@@ -60,7 +60,7 @@
     #[derive(Copy)]
     pub struct Fetch {
         /// Tokens in a second.
-        pub tokens: f64,
+        pub tokens_per_second: f64,
         /// Time before the first of them.
         pub setup: Duration,
     }
@@ -81,7 +81,7 @@
     #[derive(Copy, Eq)]
     pub struct Share {
         /// Places of the server that this node may fill now.
-        pub places: u32,
+        pub slots: u32,
         /// Requests that peers have in flight there, as far as heard.
         pub sent: u32,
         /// Rank of the highest tier that waits for this server at a peer.
@@ -105,13 +105,13 @@
         /// The engine.
         pub server: ids::Server,
         /// Seconds that they take to read, by rank of urgency.
-        pub reading: Vec<f64>,
+        pub prefill: Vec<f64>,
         /// Seconds by which one of them waits for its answer beyond what is usual, by rank of urgency.
         pub overdue: Vec<f64>,
         /// Places that they take at the engine or wait for, by rank of urgency.
-        pub taken: Vec<f64>,
+        pub occupied: Vec<f64>,
         /// Time since the engine was last seen to begin an answer; none if it wasn't of late.
-        pub begun: Option<Duration>,
+        pub since_first_token: Option<Duration>,
     }
 
     /// What an engine says of its load, with a lag.
--- a/components/policy/tests/budget.rs
+++ b/components/policy/tests/budget.rs
@@ -68,9 +68,9 @@
         }
         events.push(kind);
         kind = Event::Repeat;
-        let ending = if failures > 0 { Ending::Failed } else { Ending::Whole };
+        let ending = if failures > 0 { Ending::Failed } else { Ending::Completed };
         failures = failures.saturating_sub(1);
-        if !node.scheduler.ended(job, ending, node.now) {
+        if !node.scheduler.attempt_ended(job, ending, node.now) {
             return;
         }
     }
--- a/components/policy/tests/common/fleet.rs
+++ b/components/policy/tests/common/fleet.rs
@@ -87,7 +87,7 @@
             (0..site.nodes).map(|_| engines(site.engines, site.slots)).collect();
         for node in &mut nodes {
             let scheduler = std::mem::take(&mut node.scheduler);
-            node.scheduler = without.into_iter().fold(scheduler, |all, one| all.without(one));
+            node.scheduler = without.into_iter().fold(scheduler, |all, one| all.with_disabled(one));
         }
         let now = nodes[0].now;
         nodes.iter_mut().for_each(|node| node.now = now);
@@ -148,7 +148,7 @@
             for run in engine.waiting.extract_if(.., |run| gone(run)) {
                 self.counts[run.class].given_up += 1;
                 let node = &mut self.nodes[run.node];
-                node.scheduler.ended(run.job, Ending::Cancelled, node.now);
+                node.scheduler.attempt_ended(run.job, Ending::Cancelled, node.now);
             }
             engine.waiting.sort_by_key(|run| (run.class, run.arrived));
             let free = slots.saturating_sub(engine.running.len()).min(engine.waiting.len());
@@ -175,11 +175,11 @@
                     count.longest = count.longest.max(took);
                 }
                 run.tokens -= 1;
-                node.scheduler.tokens(run.job, 1, node.now);
+                node.scheduler.record_tokens(run.job, 1, node.now);
             }
             for run in engine.running.extract_if(.., |run| run.tokens == 0) {
                 let node = &mut self.nodes[run.node];
-                node.scheduler.ended(run.job, Ending::Whole, node.now);
+                node.scheduler.attempt_ended(run.job, Ending::Completed, node.now);
             }
         }
     }
@@ -198,10 +198,11 @@
             for (_, (loads, rates)) in others {
                 for load in loads {
                     let sum = sums.entry(load.server).or_insert_with(|| none(load.server));
-                    merge(&mut sum.reading, &load.reading, |a, b| a + b);
+                    merge(&mut sum.prefill, &load.prefill, |a, b| a + b);
                     merge(&mut sum.overdue, &load.overdue, f64::max);
-                    merge(&mut sum.taken, &load.taken, |a, b| a + b);
-                    sum.begun = sum.begun.into_iter().chain(load.begun).min();
+                    merge(&mut sum.occupied, &load.occupied, |a, b| a + b);
+                    sum.since_first_token =
+                        sum.since_first_token.into_iter().chain(load.since_first_token).min();
                 }
                 merge(&mut sends, rates, |a, b| a + b);
             }
--- a/components/policy/tests/common/mod.rs
+++ b/components/policy/tests/common/mod.rs
@@ -31,7 +31,7 @@
 pub fn class(tier: u8, queue: usize) -> Class {
     Class {
         tier,
-        urgency: tier,
+        priority: tier,
         weight: 1,
         first_token: Duration::from_secs(1),
         token_interval: Duration::from_millis(50),
@@ -50,7 +50,7 @@
         models: vec![model],
         leaving: false,
         resumes: true,
-        reads: None,
+        prefill_rate: None,
         fetch: None,
     }
 }
@@ -65,7 +65,7 @@
         let model = keys(1)[0];
         scheduler.set_limits(Limits {
             retry_percent: 10,
-            retry_burst: policy::RETRIES,
+            retry_burst: policy::RETRY_BURST,
             link_bytes: 1 << 20,
         });
         for (tier, key) in classes.iter().enumerate() {
--- a/components/policy/tests/common/prompts.rs
+++ b/components/policy/tests/common/prompts.rs
@@ -22,11 +22,12 @@
     let mut fixture = Fixture::new(1, count, slots, 1_000);
     // As a node before engines that queue by themselves: nothing is given up by its forecast.
     fixture.scheduler = std::mem::take(&mut fixture.scheduler)
-        .without(Mechanism::Fit)
-        .without(Mechanism::EarlyRefusal)
-        .without(Mechanism::Stopping);
+        .with_disabled(Mechanism::Fit)
+        .with_disabled(Mechanism::EarlyRefusal)
+        .with_disabled(Mechanism::Stopping);
     for (index, key) in fixture.servers.iter().enumerate() {
-        let terms = Server { reads: Some(READS), ..server(index as u64 + 1, slots, fixture.model) };
+        let terms =
+            Server { prefill_rate: Some(READS), ..server(index as u64 + 1, slots, fixture.model) };
         fixture.scheduler.set_server(*key, terms);
     }
     for (index, bears) in [(STEADY, 60), (1, 100), (DRAFT, 250)] {
@@ -68,8 +69,8 @@
 /// Serves a request whole; its first token comes after `first`.
 pub fn serve(fixture: &mut Fixture, job: ids::Job, first: Duration) {
     fixture.now += first;
-    fixture.scheduler.tokens(job, 4, fixture.now);
-    fixture.scheduler.ended(job, Ending::Whole, fixture.now);
+    fixture.scheduler.record_tokens(job, 4, fixture.now);
+    fixture.scheduler.attempt_ended(job, Ending::Completed, fixture.now);
 }
 
 /// Lets both kinds of work be known.
@@ -84,7 +85,7 @@
 
 /// Lets engines take over prompts from each other, some hundred times as fast as they read.
 pub fn linked(fixture: &mut Fixture) {
-    let way = Fetch { tokens: 5_000_000.0, setup: Duration::from_millis(5) };
+    let way = Fetch { tokens_per_second: 5_000_000.0, setup: Duration::from_millis(5) };
     for key in fixture.servers.clone() {
         fixture.scheduler.set_fetch(key, Some(way));
     }
@@ -94,6 +95,7 @@
 pub fn told(fixture: &mut Fixture, server: ids::Server, seconds: f64, overdue: f64) {
     let by_rank = |seconds| vec![0.0, 0.0, seconds];
     let (reading, overdue) = (by_rank(seconds), by_rank(overdue));
-    let backlog = Backlog { server, reading, overdue, taken: vec![], begun: None };
+    let backlog =
+        Backlog { server, prefill: reading, overdue, occupied: vec![], since_first_token: None };
     fixture.scheduler.set_backlogs(&[backlog], fixture.now);
 }
--- a/components/policy/tests/engines.rs
+++ b/components/policy/tests/engines.rs
@@ -88,9 +88,9 @@
         there += usize::from(server == bad);
         fixture.now += Duration::from_millis(50);
         let fails = server == bad && n % 2 == 0;
-        fixture.scheduler.tokens(job, 4, fixture.now);
-        let ending = if fails { Ending::Faulty } else { Ending::Whole };
-        fixture.scheduler.ended(job, ending, fixture.now);
+        fixture.scheduler.record_tokens(job, 4, fixture.now);
+        let ending = if fails { Ending::ServerError } else { Ending::Completed };
+        fixture.scheduler.attempt_ended(job, ending, fixture.now);
     }
     assert!(there < 30, "{there} of 60 requests at the engine that fails");
 }
@@ -118,7 +118,7 @@
     warm(&mut fixture);
     let (hanging, bad) = send(&mut fixture, STEADY, 7);
     fixture.now += Duration::from_secs(2);
-    fixture.scheduler.ended(hanging, Ending::Cancelled, fixture.now);
+    fixture.scheduler.attempt_ended(hanging, Ending::Cancelled, fixture.now);
     for _ in 0..20 {
         assert_ne!(send(&mut fixture, STEADY, 7).1, bad);
     }
@@ -138,11 +138,11 @@
     let beside = (0..100).map(|session| send(&mut fixture, STEADY, session));
     let (other, _) = beside.into_iter().find(|(_, server)| *server == slow).unwrap();
     fixture.now += Duration::from_secs(2);
-    fixture.scheduler.tokens(other, 4, fixture.now);
-    fixture.scheduler.ended(other, Ending::Whole, fixture.now);
-    fixture.scheduler.ended(waiting, Ending::Cancelled, fixture.now);
-    let belief = fixture.scheduler.belief(slow, fixture.now).unwrap();
-    assert_eq!(belief.unused, None);
+    fixture.scheduler.record_tokens(other, 4, fixture.now);
+    fixture.scheduler.attempt_ended(other, Ending::Completed, fixture.now);
+    fixture.scheduler.attempt_ended(waiting, Ending::Cancelled, fixture.now);
+    let status = fixture.scheduler.status(slow, fixture.now).unwrap();
+    assert_eq!(status.unused, None);
 }
 
 /// The near engines are gone. Requests go to the other region at once, since nothing else is left.
@@ -154,7 +154,7 @@
         let near = index < ENGINES - 2;
         let region = if near { ids::Region::default() } else { far };
         let terms = server(index as u64 + 1, 128, fixture.model);
-        let terms = Server { reads: Some(READS), region, leaving: near, ..terms };
+        let terms = Server { prefill_rate: Some(READS), region, leaving: near, ..terms };
         fixture.scheduler.set_server(*key, terms);
     }
     for session in 0..20 {
@@ -196,7 +196,7 @@
     let expected = fixture.scheduler.expected(job).unwrap();
     assert_eq!(expected.fetch, Some(home));
     // Its own 3,000 tokens, not the 6,000 that it shares.
-    assert!(expected.reading < Duration::from_millis(60), "{expected:?}");
+    assert!(expected.prefill < Duration::from_millis(60), "{expected:?}");
 }
 
 /// The only engine that keeps a beginning hangs: prompts of other nodes wait there far too long. Whoever
@@ -233,7 +233,7 @@
     let added: Vec<ids::Server> = common::keys(ENGINES + 4).split_off(ENGINES);
     for (index, key) in added.iter().enumerate() {
         let terms = server((ENGINES + index) as u64 + 1, 128, fixture.model);
-        fixture.scheduler.set_server(*key, Server { reads: Some(READS), ..terms });
+        fixture.scheduler.set_server(*key, Server { prefill_rate: Some(READS), ..terms });
     }
     for (session, home) in homes.into_iter().enumerate() {
         let (job, server) = send(&mut fixture, DRAFT, session as u64);
--- a/components/policy/tests/isolation.rs
+++ b/components/policy/tests/isolation.rs
@@ -32,7 +32,7 @@
         fixture.scheduler.set_class(fixture.classes[index], terms);
     }
     let scheduler = std::mem::take(&mut fixture.scheduler);
-    fixture.scheduler = without.into_iter().fold(scheduler, |all, one| all.without(one));
+    fixture.scheduler = without.into_iter().fold(scheduler, |all, one| all.with_disabled(one));
     fixture
 }
 
@@ -49,7 +49,7 @@
         Default::default();
     for step in 0..STEPS {
         for job in ends.remove(&step).unwrap_or_default() {
-            fixture.scheduler.ended(job, Ending::Whole, fixture.now);
+            fixture.scheduler.attempt_ended(job, Ending::Completed, fixture.now);
         }
         for class in [STREAM, QUERY, DRAFT] {
             if !step.is_multiple_of(EVERY[class]) {
@@ -61,7 +61,7 @@
             let mut actions = vec![];
             fixture.scheduler.poll(fixture.now, &mut actions);
             let Some(Action::Send { server, .. }) = actions.pop() else { panic!("no place") };
-            fixture.scheduler.tokens(job, 1, fixture.now + STEP * 4);
+            fixture.scheduler.record_tokens(job, 1, fixture.now + STEP * 4);
             ends.entry(step + LASTS[class]).or_default().push(job);
             if step < SETTLED {
                 continue;
--- a/components/policy/tests/places.rs
+++ b/components/policy/tests/places.rs
@@ -83,15 +83,19 @@
         let (job, _) = send(fixture, STEADY, session);
         for _ in 0..100 {
             fixture.now += Duration::from_millis(30);
-            fixture.scheduler.tokens(job, 1, fixture.now);
+            fixture.scheduler.record_tokens(job, 1, fixture.now);
         }
-        fixture.scheduler.ended(job, Ending::Whole, fixture.now);
+        fixture.scheduler.attempt_ended(job, Ending::Completed, fixture.now);
     }
 }
 
 /// Other nodes' requests take so many places at an engine, by rank.
 fn taken(server: ids::Server, taken: &[f64]) -> Backlog {
-    Backlog { taken: taken.to_vec(), begun: Some(Duration::from_millis(20)), ..none(server) }
+    Backlog {
+        occupied: taken.to_vec(),
+        since_first_token: Some(Duration::from_millis(20)),
+        ..none(server)
+    }
 }
 
 proptest! {
--- a/components/policy/tests/properties.rs
+++ b/components/policy/tests/properties.rs
@@ -31,7 +31,7 @@
 
 fn step() -> impl Strategy<Value = Step> {
     let ending = prop_oneof![
-        4 => Just(Ending::Whole),
+        4 => Just(Ending::Completed),
         1 => Just(Ending::NotRun),
         1 => Just(Ending::Failed),
         1 => Just(Ending::Cancelled),
@@ -91,7 +91,7 @@
     fn end(&mut self, job: ids::Job, ending: Ending) {
         let now = self.fixture.now;
         let class = self.open[&job].0;
-        if self.fixture.scheduler.ended(job, ending, now) {
+        if self.fixture.scheduler.attempt_ended(job, ending, now) {
             let repeatable = ending != Ending::Failed || class != 1;
             assert!(repeatable, "what may have run and isn't idempotent waits again");
             self.open.insert(job, (class, State::Waiting));
@@ -111,9 +111,9 @@
                     entry.1 = State::Sent;
                     self.attempts += 1;
                 }
-                Action::Refuse { job, refusal, again } => {
+                Action::Refuse { job, refusal, retry_after } => {
                     assert!(self.open[&job].1 == State::Waiting, "what was sent isn't refused");
-                    assert!(again > Duration::ZERO);
+                    assert!(retry_after > Duration::ZERO);
                     let class = self.close(job);
                     let lower = self
                         .open
@@ -147,7 +147,7 @@
             Step::Wait(ms) => self.fixture.now += Duration::from_millis(ms),
             Step::Tokens(at, count) => {
                 if let Some(job) = self.nth(at, State::Sent) {
-                    self.fixture.scheduler.tokens(job, count, now);
+                    self.fixture.scheduler.record_tokens(job, count, now);
                 }
             }
             Step::End(at, ending) => {
@@ -165,11 +165,11 @@
                 let at = now.checked_sub(Duration::from_millis(age)).unwrap_or(now);
                 let token_interval = Duration::from_millis(30);
                 let report = Report { at, running, queued: 0, slots: 2, token_interval, leaving };
-                self.fixture.scheduler.report(self.fixture.servers[server], report, now);
+                self.fixture.scheduler.record_report(self.fixture.servers[server], report, now);
             }
             Step::Share { server, places, waiting } => {
-                let share = Share { places, sent: 0, waiting };
-                self.fixture.scheduler.share(self.fixture.servers[server], share, now);
+                let share = Share { slots: places, sent: 0, waiting };
+                self.fixture.scheduler.set_share(self.fixture.servers[server], share, now);
             }
             Step::Remove(server) => {
                 self.fixture.scheduler.remove_server(self.fixture.servers[server]);
@@ -211,7 +211,7 @@
         prop_assert!(run.open.is_empty());
         prop_assert_eq!(run.submitted, run.ended);
         prop_assert_eq!(run.fixture.scheduler.waiting(), 0);
-        let sent = run.fixture.servers.iter().map(|key| run.fixture.scheduler.sent(*key));
+        let sent = run.fixture.servers.iter().map(|key| run.fixture.scheduler.in_flight_at(*key));
         prop_assert_eq!(sent.sum::<u32>(), 0);
         // Attempts beyond the first are bounded by the budget: 16 at once and a tenth of fresh work.
         let most = run.fresh + run.stops + 16 + run.fresh / 10 + 1;
@@ -228,7 +228,7 @@
     let served = draft_under_flood(Fixture::new(2, 1, 1, 100));
     assert!(served.is_some_and(|after| after <= bound), "{served:?}");
     let mut fixture = Fixture::new(2, 1, 1, 100);
-    fixture.scheduler = fixture.scheduler.without(Mechanism::LongestWait);
+    fixture.scheduler = fixture.scheduler.with_disabled(Mechanism::LongestWait);
     assert_eq!(draft_under_flood(fixture), None, "the bound can be broken");
 }
 
@@ -246,7 +246,7 @@
         if tenth % 10 == 0
             && let Some(job) = running.take()
         {
-            fixture.scheduler.ended(job, Ending::Whole, now);
+            fixture.scheduler.attempt_ended(job, Ending::Completed, now);
         }
         let mut actions = vec![];
         fixture.scheduler.poll(now, &mut actions);
@@ -276,7 +276,7 @@
     fixture.scheduler.poll(fixture.now, &mut actions);
     assert_eq!(actions.len(), 3);
     let Action::Send { job, .. } = actions[0] else { panic!("{actions:?}") };
-    fixture.scheduler.ended(job, Ending::Whole, fixture.now);
+    fixture.scheduler.attempt_ended(job, Ending::Completed, fixture.now);
     fixture.scheduler.poll(fixture.now, &mut actions);
     assert_eq!(actions.len(), 4);
 }
@@ -316,7 +316,7 @@
             for action in actions {
                 let Action::Send { job, .. } = action else { continue };
                 attempts += 1;
-                fixture.scheduler.ended(job, Ending::NotRun, fixture.now);
+                fixture.scheduler.attempt_ended(job, Ending::NotRun, fixture.now);
             }
             fixture.now += Duration::from_millis(20);
         }
@@ -326,6 +326,6 @@
     let bounded = attempts(fixture());
     assert!(bounded <= 300 + 16 + 30, "{bounded} attempts");
     let mut unbounded = fixture();
-    unbounded.scheduler = unbounded.scheduler.without(Mechanism::RetryBudget);
+    unbounded.scheduler = unbounded.scheduler.with_disabled(Mechanism::RetryBudget);
     assert!(attempts(unbounded) > 346, "the bound can be broken");
 }
--- a/components/policy/tests/stops.rs
+++ b/components/policy/tests/stops.rs
@@ -35,7 +35,7 @@
     assert_eq!(sent.len(), 2, "{actions:?}");
     fixture.now += STEP;
     for job in sent {
-        fixture.scheduler.tokens(job, 1, fixture.now);
+        fixture.scheduler.record_tokens(job, 1, fixture.now);
     }
     let top = fixture.request(0, 0, useful);
     fixture.scheduler.submit(top, fixture.now);
--- a/components/policy/tests/throttle.rs
+++ b/components/policy/tests/throttle.rs
@@ -34,7 +34,7 @@
 fn requests_go_to_servers_without_a_limit() {
     let mut fixture = Fixture::new(1, 3, 4, 100);
     let limited = fixture.servers[0];
-    fixture.scheduler.set_limited(limited, true);
+    fixture.scheduler.set_rate_limited(limited, true);
     submit(&mut fixture, 6);
     let servers = sent(&mut fixture);
     assert_eq!(servers.len(), 6);
@@ -46,18 +46,18 @@
 fn requests_wait_for_permits_where_all_servers_are_limited() {
     let mut fixture = Fixture::new(1, 1, 8, 100);
     let server = fixture.servers[0];
-    fixture.scheduler.set_limited(server, true);
+    fixture.scheduler.set_rate_limited(server, true);
     submit(&mut fixture, 5);
     assert_eq!(sent(&mut fixture), []);
     for permits in [1, 2] {
         fixture.now += SECOND;
-        fixture.scheduler.permit(server, permits, fixture.now);
+        fixture.scheduler.add_permits(server, permits, fixture.now);
         assert_eq!(sent(&mut fixture).len(), permits as usize);
     }
-    fixture.scheduler.permit(server, 1, fixture.now);
+    fixture.scheduler.add_permits(server, 1, fixture.now);
     fixture.now += SECOND * 2;
     assert_eq!(sent(&mut fixture), [], "the permit has ended");
-    fixture.scheduler.set_limited(server, false);
+    fixture.scheduler.set_rate_limited(server, false);
     assert_eq!(sent(&mut fixture).len(), 2);
 }
 
--- a/components/policy/tests/urgency.rs
+++ b/components/policy/tests/urgency.rs
@@ -26,7 +26,12 @@
     let begun = Some(Duration::from_millis(20));
     let engines = fixture.servers[1..].iter();
     let told: Vec<_> = engines
-        .map(|server| Backlog { server: *server, overdue: overdue.clone(), begun, ..none(*server) })
+        .map(|server| Backlog {
+            server: *server,
+            overdue: overdue.clone(),
+            since_first_token: begun,
+            ..none(*server)
+        })
         .collect();
     fixture.scheduler.set_backlogs(&told, fixture.now);
     let mut crowded = 0;
@@ -64,11 +69,11 @@
     fixture.now += Duration::from_secs(20);
     let (job, full) = send(&mut fixture, STEADY, 7);
     fixture.now += Duration::from_secs(2);
-    let told = Backlog { begun: Some(Duration::from_millis(20)), ..none(full) };
+    let told = Backlog { since_first_token: Some(Duration::from_millis(20)), ..none(full) };
     fixture.scheduler.set_backlogs(&[told], fixture.now);
-    fixture.scheduler.ended(job, Ending::Cancelled, fixture.now);
-    let belief = fixture.scheduler.belief(full, fixture.now).unwrap();
-    assert_eq!(belief.unused, None);
+    fixture.scheduler.attempt_ended(job, Ending::Cancelled, fixture.now);
+    let status = fixture.scheduler.status(full, fixture.now).unwrap();
+    assert_eq!(status.unused, None);
 }
 
 /// The home of a session is full, drafts of other nodes wait there for long, and it goes on beginning others. It
@@ -82,7 +87,7 @@
     serve(&mut fixture, job, Duration::from_millis(50));
     fixture.now += Duration::from_secs(2);
     let begun = Some(Duration::from_millis(20));
-    let told = Backlog { overdue: vec![0.0, 0.0, 5.0], begun, ..none(home) };
+    let told = Backlog { overdue: vec![0.0, 0.0, 5.0], since_first_token: begun, ..none(home) };
     fixture.scheduler.set_backlogs(&[told], fixture.now);
     let (job, other) = send(&mut fixture, DRAFT, 7);
     assert_ne!(other, home);
@@ -90,7 +95,7 @@
 }
 
 fn none(server: ids::Server) -> Backlog {
-    Backlog { server, reading: vec![], overdue: vec![], taken: vec![], begun: None }
+    Backlog { server, prefill: vec![], overdue: vec![], occupied: vec![], since_first_token: None }
 }
 
 proptest! {
@@ -111,15 +116,15 @@
         fixture.now += Duration::from_secs(20);
         let rows: Vec<_> = fixture.servers.iter().zip(&told).map(|(server, (reading, overdue, begun))| {
             let begun = Some(Duration::from_millis(*begun));
-            Backlog { reading: reading.to_vec(), overdue: overdue.to_vec(), begun, ..none(*server) }
+            Backlog { prefill: reading.to_vec(), overdue: overdue.to_vec(), since_first_token: begun, ..none(*server) }
         }).collect();
         fixture.scheduler.set_backlogs(&rows, fixture.now);
         let (job, server) = send(&mut fixture, class, 7);
         let expected = fixture.scheduler.expected(job).unwrap();
         let row = rows.iter().find(|row| row.server == server).unwrap();
-        let reads: f64 = row.reading[..=class].iter().sum();
+        let reads: f64 = row.prefill[..=class].iter().sum();
         let waits = row.overdue[..=class].iter().copied().fold(0.0, f64::max);
-        let silent = row.begun.unwrap().as_secs_f64();
+        let silent = row.since_first_token.unwrap().as_secs_f64();
         prop_assert!(
             expected.backlog.as_secs_f64() <= reads.max(waits).max(silent) + ROUNDING,
             "{expected:?}, {row:?}"
--- a/components/router/src/cells.rs
+++ b/components/router/src/cells.rs
@@ -78,7 +78,7 @@
     let mut scheduler = state.turns.scheduler.borrow_mut();
     for (key, server) in &settings.servers {
         if !servers.contains_key(&wire::key(&server.name)) {
-            scheduler.share(key, Share { places: 0, sent: 0, waiting: None }, now);
+            scheduler.set_share(key, Share { slots: 0, sent: 0, waiting: None }, now);
         }
     }
     *state.cells.borrow_mut() = Cells { basis, facts, own: cell, count: division.count, servers };
--- a/components/router/src/engines.rs
+++ b/components/router/src/engines.rs
@@ -97,5 +97,5 @@
         token_interval: Duration::from_micros(load.token_interval_us.into()),
         leaving: load.leaving,
     };
-    state.turns.scheduler.borrow_mut().report(key, report, state.clock.now());
+    state.turns.scheduler.borrow_mut().record_report(key, report, state.clock.now());
 }
--- a/components/router/src/operators.rs
+++ b/components/router/src/operators.rs
@@ -5,7 +5,7 @@
 
 use actix_http::{Request, Response, StatusCode};
 use clock::Clock;
-use policy::Belief;
+use policy::Status;
 use serde_json::json;
 use settings::Server;
 
@@ -38,7 +38,7 @@
     let peers = view.members().filter(|(_, member)| member.heard.is_some_and(heard)).count();
     let settings = state.settings();
     state.metrics.peers(peers);
-    let held = state.turns.scheduler.borrow().work();
+    let held = state.turns.scheduler.borrow().current_demand();
     for (key, class) in settings.iter().flat_map(|settings| &settings.classes) {
         let work = held.iter().find(|work| work.class == key);
         let (waiting, sent) = work.map_or((0, 0), |work| (work.waiting, work.sent));
@@ -55,9 +55,9 @@
     let servers = settings.iter().flat_map(|settings| &settings.servers);
     let servers = servers.map(|(key, server)| {
         let peers = view.sent(&server.name, now);
-        self::server(server, scheduler.belief(key, now), peers)
+        self::server(server, scheduler.status(key, now), peers)
     });
-    let held = scheduler.work();
+    let held = scheduler.current_demand();
     let classes = settings.iter().flat_map(|settings| &settings.classes).map(|(key, class)| {
         let work = held.iter().find(|work| work.class == key);
         json!({
@@ -87,19 +87,19 @@
 }
 
 /// What this node believes of a backend server, and how old that is.
-fn server(server: &Server, belief: Option<Belief>, peers: u32) -> serde_json::Value {
-    let Some(belief) = belief else {
+fn server(server: &Server, status: Option<Status>, peers: u32) -> serde_json::Value {
+    let Some(status) = status else {
         return json!({"name": server.name, "unused": "not known to the decisions yet"});
     };
     json!({
         "name": server.name,
-        "in_flight": belief.sent,
+        "in_flight": status.sent,
         "in_flight_at_peers": peers,
-        "places": belief.places,
-        "load": (belief.load * 100.0).round() / 100.0,
-        "token_interval_ms": ms(belief.interval),
-        "reported_ms_ago": belief.age.map(ms),
-        "unused": belief.unused.map(|unused| unused.as_str()),
+        "places": status.slots,
+        "load": (status.load * 100.0).round() / 100.0,
+        "token_interval_ms": ms(status.interval),
+        "reported_ms_ago": status.age.map(ms),
+        "unused": status.unused.map(|unused| unused.as_str()),
     })
 }
 
--- a/components/router/src/peers.rs
+++ b/components/router/src/peers.rs
@@ -82,7 +82,8 @@
     let settings = state.settings();
     let scheduler = state.turns.scheduler.borrow();
     let cells = state.cells.borrow();
-    let counts = cells.servers().map(|(server, key)| Sent { server, count: scheduler.sent(key) });
+    let counts =
+        cells.servers().map(|(server, key)| Sent { server, count: scheduler.in_flight_at(key) });
     let mut demand: Vec<Demand> = vec![];
     for work in scheduler.demand() {
         let class = settings.as_ref().and_then(|settings| settings.classes.get(work.class));
@@ -121,7 +122,7 @@
         tier: wait.tier,
         count: wait.count,
     };
-    scheduler.waits().into_iter().map(row).collect()
+    scheduler.waits_by_model().into_iter().map(row).collect()
 }
 
 fn workspaces(settings: Option<&Effective>, scheduler: &Scheduler) -> Vec<Sent> {
--- a/components/router/src/place.rs
+++ b/components/router/src/place.rs
@@ -77,7 +77,7 @@
     /// Ends the attempt; returns whether the job waits again. If so, [`Place::turn`] must follow
     /// without a pause, since a turn that nobody awaits is given up.
     pub(crate) fn end(&mut self, ending: Ending) -> bool {
-        if ending == Ending::Whole {
+        if ending == Ending::Completed {
             self.state.crashes.completed(self.content);
         }
         self.inner.end(ending)
--- a/components/router/src/relay.rs
+++ b/components/router/src/relay.rs
@@ -333,7 +333,7 @@
     response.insert_header((REQUEST_ID, id.to_string()));
     match start {
         Start::Whole(whole) => {
-            place.end(Ending::Whole);
+            place.end(Ending::Completed);
             let outcome = sending.complete();
             if let Some(claim) = &parcel.claim {
                 let (media, body) = (whole.media.clone(), whole.body.to_vec());
--- a/components/router/src/shares.rs
+++ b/components/router/src/shares.rs
@@ -40,7 +40,7 @@
     let mut scheduler = state.turns.scheduler.borrow_mut();
     for (name, key, server) in used() {
         if unfit.contains(&name) {
-            scheduler.share(key, policy::Share { places: 0, sent: 0, waiting: None }, now);
+            scheduler.set_share(key, policy::Share { slots: 0, sent: 0, waiting: None }, now);
             continue;
         }
         let slots = f64::from(server.slots);
@@ -53,9 +53,8 @@
         let claimed = claims::own(settled, &target);
         let need = claims::own(own, &target).needs.iter().map(|need| need.places).sum();
         let share = Pool::new(name, server.slots, since_1970).share(&claimed, need, &peers);
-        let share =
-            policy::Share { places: share.places, sent: share.sent, waiting: share.waiting };
-        scheduler.share(key, share, now);
+        let share = policy::Share { slots: share.places, sent: share.sent, waiting: share.waiting };
+        scheduler.set_share(key, share, now);
     }
     for (key, workspace) in settings.workspaces.iter().filter(|(_, w)| w.in_flight < u32::MAX) {
         let name = wire::key(&workspace.name);
--- a/components/router/src/stream.rs
+++ b/components/router/src/stream.rs
@@ -112,7 +112,7 @@
 
     fn whole(&mut self) -> Option<io::Result<Bytes>> {
         let life = self.life.take()?;
-        self.place.end(Ending::Whole);
+        self.place.end(Ending::Completed);
         self.tokens = 0;
         answered(&self.place.state, &self.parcel);
         if let Some(claim) = &self.parcel.claim {
--- a/components/router/src/terms.rs
+++ b/components/router/src/terms.rs
@@ -13,7 +13,7 @@
 pub(crate) fn apply(scheduler: &mut Scheduler, last: Option<&Effective>, effective: &Effective) {
     scheduler.set_limits(policy::Limits {
         retry_percent: effective.limits.retry_percent,
-        retry_burst: policy::RETRIES,
+        retry_burst: policy::RETRY_BURST,
         link_bytes: effective.limits.link_bytes,
     });
     for (key, class) in changed(&effective.classes, last.map(|last| &last.classes)) {
@@ -52,7 +52,7 @@
 fn class(class: &settings::Class) -> policy::Class {
     policy::Class {
         tier: class.rank,
-        urgency: class.rank,
+        priority: class.rank,
         weight: class.weight,
         first_token: class.first_token,
         token_interval: class.token_interval,
@@ -86,7 +86,7 @@
         models: server.models.clone(),
         leaving: server.leaving,
         resumes: server.resumes,
-        reads: None,
+        prefill_rate: None,
         fetch: None,
     }
 }
--- a/components/turns/src/lib.rs
+++ b/components/turns/src/lib.rs
@@ -66,7 +66,7 @@
             let sender = self.waiting.borrow_mut().remove(job);
             let unheard = sender.is_none_or(|sender| sender.send(action).is_err());
             if unheard && matches!(action, Action::Send { .. }) {
-                self.scheduler.borrow_mut().ended(job, Ending::Cancelled, self.clock.now());
+                self.scheduler.borrow_mut().attempt_ended(job, Ending::Cancelled, self.clock.now());
             }
         }
         self.changed.notify_one();
@@ -77,7 +77,7 @@
         let weak = Rc::downgrade(self);
         actix_rt::spawn(async move {
             while let Some(turns) = weak.upgrade() {
-                let due = turns.scheduler.borrow().due();
+                let due = turns.scheduler.borrow().next_due();
                 let now = turns.clock.now();
                 let wait = due.map_or(SLEEP, |due| due.saturating_duration_since(now).min(SLEEP));
                 tokio::select! {
--- a/components/turns/src/place.rs
+++ b/components/turns/src/place.rs
@@ -54,9 +54,9 @@
         self.turns.pump();
         let server = match receiver.await {
             Ok(Action::Send { server, .. }) => server,
-            Ok(Action::Refuse { refusal, again, .. }) => {
+            Ok(Action::Refuse { refusal, retry_after, .. }) => {
                 self.over = true;
-                return Err(Refused { refusal, again });
+                return Err(Refused { refusal, again: retry_after });
             }
             Ok(Action::Stop { .. }) | Err(_) => return Err(Refused::NOBODY),
         };
@@ -86,7 +86,7 @@
     /// Notes tokens of the attempt that came; the first call tells of the first.
     pub fn tokens(&self, count: u32) {
         let now = self.turns.clock.now();
-        self.turns.scheduler.borrow_mut().tokens(self.job, count, now);
+        self.turns.scheduler.borrow_mut().record_tokens(self.job, count, now);
     }
 
     /// Ends the attempt; returns whether the job waits again. If so, [`Place::turn`] must follow
@@ -96,7 +96,7 @@
         self.stop = None;
         self.turns.stops.borrow_mut().remove(self.job);
         let now = self.turns.clock.now();
-        let again = self.turns.scheduler.borrow_mut().ended(self.job, ending, now);
+        let again = self.turns.scheduler.borrow_mut().attempt_ended(self.job, ending, now);
         self.over = !again;
         again
     }
