--- a/components/policy/src/admit.rs
+++ b/components/policy/src/admit.rs
@@ -42,7 +42,7 @@
         let (class, workspace) = (request.class, request.workspace);
         let terms = self.classes.get(class);
         let tier = terms.map_or(u8::MAX, |class| class.tier);
-        let urgency = terms.map_or(u8::MAX, |class| class.priority);
+        let priority = terms.map_or(u8::MAX, |class| class.priority);
         let pool = self.pool(&request, now);
         let jitter = self.jitter.next();
         self.pools[pool].jobs += 1;
@@ -50,23 +50,23 @@
             turn.since.get_or_insert(now);
         }
         let pending = Pending {
-            last_call: request.deadline,
+            latest_send: request.deadline,
             request,
             tier,
-            urgency,
+            priority,
             jitter,
             pool,
             stage: Stage::Over,
             attempts: 0,
             stops: 0,
             stopping: false,
-            overdue: false,
+            ahead_of_turn: false,
             produced: 0,
             charged: 0,
             tokens: 0,
             timer: None,
             avoid: None,
-            reading: 0.0,
+            prefill: 0.0,
             ahead: 0.0,
             expected: None,
             sent_at: now,
@@ -117,7 +117,7 @@
         pending.tokens = rest;
         let deadline = pending.request.deadline;
         let call = deadline.checked_sub(Duration::from_secs_f64(time.min(3_600.0)));
-        pending.last_call = call.filter(|_| fit).unwrap_or(deadline);
+        pending.latest_send = call.filter(|_| fit).unwrap_or(deadline);
     }
 
     /// Puts a request into its queue.
@@ -141,7 +141,7 @@
         let pending = &mut self.jobs[job];
         pending.stage = Stage::Waiting { late };
         let yields = !late && !begun && self.disabled.has(Mechanism::Yielding);
-        let timer = if yields { late_at.min(pending.last_call) } else { pending.last_call };
+        let timer = if yields { late_at.min(pending.latest_send) } else { pending.latest_send };
         pending.timer = Some(timer);
         self.timers.insert((timer, job));
         self.waiting += 1;
@@ -201,7 +201,7 @@
     ) -> f64 {
         let pool = &self.pools[pending.pool];
         let mut ahead = 0;
-        let bearable = pending.last_call.saturating_duration_since(now).as_secs_f64();
+        let bearable = pending.latest_send.saturating_duration_since(now).as_secs_f64();
         let (mut above, mut tokens_above, mut weights) = (0.0, 0, 0);
         let own = self.classes.get(pending.request.class).map_or(1, |class| class.weight);
         for line in &pool.lines {
@@ -236,7 +236,7 @@
         let alone = lines.filter(|line| line.class == class).map(|l| l.len()).sum::<usize>() <= 1;
         let since = self.turns.get(class).and_then(|turn| turn.since);
         let longest = self.classes.get(class).map_or(Duration::MAX, |class| class.longest_wait);
-        alone && since.is_some_and(|since| since + longest <= pending.last_call)
+        alone && since.is_some_and(|since| since + longest <= pending.latest_send)
     }
 
     /// When a request that can't be served in time had better be sent again.
@@ -244,7 +244,7 @@
         let pending = &self.jobs[job];
         let early = self.disabled.has(Mechanism::EarlyRefusal);
         let wait = self.forecast(pending, Some(self.lane(pending.request.workspace)), now);
-        let bearable = pending.last_call.saturating_duration_since(now).as_secs_f64();
+        let bearable = pending.latest_send.saturating_duration_since(now).as_secs_f64();
         let over = wait > bearable * CONFIDENT && !self.promised(pending);
         let late = bearable == 0.0 || (early && over);
         late.then(|| self.again_after(job, now))
@@ -253,7 +253,7 @@
     pub(crate) fn again_after(&self, job: ids::Job, now: Instant) -> Duration {
         let pending = &self.jobs[job];
         let wait = self.forecast(pending, None, now);
-        let useful = pending.last_call.saturating_duration_since(pending.request.arrived);
+        let useful = pending.latest_send.saturating_duration_since(pending.request.arrived);
         let spread = crate::pick::mix(slotmap::Key::data(&job).as_ffi()) as f64 / u64::MAX as f64;
         forecast::again(wait, useful.as_secs_f64() / 2.0, spread)
     }
--- a/components/policy/src/attempt.rs
+++ b/components/policy/src/attempt.rs
@@ -54,14 +54,14 @@
         let pending = &self.jobs[job];
         let repeatable = match ending {
             Ending::Stopped => return true,
-            Ending::Unreached => return now < pending.last_call,
+            Ending::Unreached => return now < pending.latest_send,
             Ending::NotRun => true,
             Ending::Failed | Ending::ServerError => pending.request.idempotent,
             Ending::Completed | Ending::Cancelled => false,
         };
         let model = pending.request.model;
         let attempts = self.classes.get(pending.request.class).map_or(1, |class| class.attempts);
-        if !repeatable || pending.attempts >= attempts || now >= pending.last_call {
+        if !repeatable || pending.attempts >= attempts || now >= pending.latest_send {
             return false;
         }
         !self.disabled.has(Mechanism::RetryBudget) || self.retries(model).take(1.0)
@@ -72,7 +72,7 @@
         let jitter = self.rng.random();
         let hung = ending == Ending::Cancelled && self.hung(&self.jobs[job], server, now);
         let pending = &mut self.jobs[job];
-        let (urgency, reading) = (pending.urgency, std::mem::take(&mut pending.reading));
+        let (urgency, reading) = (pending.priority, std::mem::take(&mut pending.prefill));
         if let Some(known) = self.servers.get_mut(server) {
             known.end(job, urgency, now);
             if hung {
--- a/components/policy/src/copies.rs
+++ b/components/policy/src/copies.rs
@@ -66,13 +66,14 @@
         now: Instant,
     ) -> Copies {
         let shared = pending.request.shared_tokens();
-        let near = |member: &&Member| self.crosses || member.region == pending.request.region;
+        let near = |member: &&Member| self.cross_region || member.region == pending.request.region;
         let mut members = self.pools[pending.pool].members.iter().filter(near);
         let known = members.any(|member| self.kept(pending, member.server, now) >= shared);
         let sources = self.prefixes.sources(&pending.request.shared, now);
         let sound = sources.filter(|source| {
             let known = self.servers.get(*source);
-            known.is_some_and(|known| self.hands_over(known, now) && !self.barred(*source, now))
+            known
+                .is_some_and(|known| self.hands_over(known, now) && !self.is_excluded(*source, now))
         });
         let near =
             |source: &ids::Server| self.servers[*source].terms.region == pending.request.region;
--- a/components/policy/src/dispatch.rs
+++ b/components/policy/src/dispatch.rs
@@ -119,7 +119,7 @@
                 let Some(job) = line.late.tail().or_else(|| line.fresh.tail()) else { break };
                 let pending = &self.jobs[job];
                 let wait = self.forecast(pending, None, now);
-                let bearable = pending.last_call.saturating_duration_since(now).as_secs_f64();
+                let bearable = pending.latest_send.saturating_duration_since(now).as_secs_f64();
                 if wait <= bearable * CONFIDENT || self.promised(pending) {
                     break;
                 }
@@ -139,7 +139,7 @@
                     self.unqueue(job);
                     self.enqueue(job, now);
                 }
-                Stage::Waiting { .. } if now >= pending.last_call => {
+                Stage::Waiting { .. } if now >= pending.latest_send => {
                     self.give_up(job, Refusal::Late, now);
                 }
                 Stage::Waiting { .. } => {
@@ -162,7 +162,7 @@
                 Choice::Full => self.pools[pool].full = self.epoch,
                 Choice::Nobody => self.give_up(job, Refusal::NoServer, now),
                 Choice::Server(server) => {
-                    self.jobs[job].overdue |= overdue;
+                    self.jobs[job].ahead_of_turn |= overdue;
                     self.send(job, server, now);
                     self.pools[pool].lines[index].blocked = 0;
                     actions.push(Action::Send { job, server });
@@ -233,7 +233,7 @@
         let pool = &self.pools[pending.pool];
         let (rest, safe) = (self.rest(pending, SURE), self.rest(pending, SAFE));
         let left = pending.request.deadline.saturating_duration_since(now).as_secs_f64();
-        let ejected = pool.servers.iter().filter(|key| self.ejected(**key, now)).count();
+        let ejected = pool.servers.iter().filter(|key| self.is_ejected(**key, now)).count();
         // All of a pool out at once says more about this node than about the servers.
         let panic = ejected == pool.servers.len();
         let link = self.disabled.has(Mechanism::Link);
@@ -245,14 +245,14 @@
                 continue;
             }
             let here = known.terms.region == pending.request.region;
-            near |= here && !known.leaving() && !self.ejected(*key, now);
+            near |= here && !known.leaving() && !self.is_ejected(*key, now);
             let place = known.free(self.disabled);
             free |= place;
             let beyond = !place && urgent && known.roomy(now, self.disabled);
             if !place && !beyond {
                 continue;
             }
-            if !self.takes(known, pending, overdue) || (!panic && self.barred(*key, now)) {
+            if !self.takes(known, pending, overdue) || (!panic && self.is_excluded(*key, now)) {
                 continue;
             }
             let interval = known.interval();
@@ -272,7 +272,7 @@
                 } else {
                     self.hangs(known, now)
                 };
-            let time = time * (1.0 + self.faults(known, now) * FAULTY) + hangs;
+            let time = time * (1.0 + self.failure_rate(known, now) * FAULTY) + hangs;
             let candidate = Candidate { server: *key, salt: known.terms.salt, load, time };
             if here || !link {
                 into.insert(into.len() - far, candidate);
@@ -285,7 +285,7 @@
         let spent = |candidate: &Candidate| Some(candidate.server) == pending.avoid;
         let only_far = into[..into.len() - far].iter().all(spent);
         let again = pending.avoid.is_some();
-        if far > 0 && !(only_far && self.crosses(pending, near && !again, now)) {
+        if far > 0 && !(only_far && self.may_cross_link(pending, near && !again, now)) {
             into.truncate(into.len() - far);
         }
         if into.len() > 1
@@ -309,24 +309,24 @@
     }
 
     /// Part of its attempts of late that failed.
-    pub(crate) fn faults(&self, known: &server::State, now: Instant) -> f64 {
+    pub(crate) fn failure_rate(&self, known: &server::State, now: Instant) -> f64 {
         let told = self.disabled.has(Mechanism::Ejection) && self.disabled.has(Mechanism::Faults);
         if told { known.health.faults(now) } else { 0.0 }
     }
 
-    pub(crate) fn ejected(&self, server: ids::Server, now: Instant) -> bool {
+    pub(crate) fn is_ejected(&self, server: ids::Server, now: Instant) -> bool {
         let known = &self.servers[server];
         self.disabled.has(Mechanism::Ejection) && (known.health.ejected(now) || known.silent(now))
     }
 
-    pub(crate) fn barred(&self, server: ids::Server, now: Instant) -> bool {
+    pub(crate) fn is_excluded(&self, server: ids::Server, now: Instant) -> bool {
         let known = &self.servers[server];
         let probed = known.health.probed() && known.sent > 0;
-        self.ejected(server, now) || (self.disabled.has(Mechanism::Ejection) && probed)
+        self.is_ejected(server, now) || (self.disabled.has(Mechanism::Ejection) && probed)
     }
 
     /// Whether a request may cross the link: it buys a target, and the budget bears it.
-    fn crosses(&self, pending: &Pending, near: bool, now: Instant) -> bool {
+    fn may_cross_link(&self, pending: &Pending, near: bool, now: Instant) -> bool {
         let target =
             self.classes.get(pending.request.class).map_or(Duration::ZERO, |c| c.first_token);
         let waited = now.saturating_duration_since(pending.request.arrived);
@@ -344,7 +344,7 @@
         let (class, workspace, tier) =
             (pending.request.class, pending.request.workspace, pending.tier);
         let (pool, tokens, first) = (pending.pool, pending.tokens, pending.attempts == 1);
-        let (model, urgency) = (pending.request.model, pending.urgency);
+        let (model, urgency) = (pending.request.model, pending.priority);
         let bytes = pending.request.prompt_tokens * PROMPT_BYTES + tokens * EVENT_BYTES;
         let charge = fair::cost(pending.request.prompt_tokens, pending.produced + tokens);
         let more = i64::from(charge) - i64::from(pending.charged);
--- a/components/policy/src/engines.rs
+++ b/components/policy/src/engines.rs
@@ -99,9 +99,9 @@
         let copies = self.copies(pending, homes, now);
         let unreported = self.unreported(pending, group, now);
         let context = Context { group, copies: &copies, unreported };
-        let all_out = pool.members.iter().all(|member| self.barred(member.server, now));
+        let all_out = pool.members.iter().all(|member| self.is_excluded(member.server, now));
         let usable = pool.members.iter().filter(|member| {
-            (all_out || !self.barred(member.server, now)) && self.usable(pending, member, now)
+            (all_out || !self.is_excluded(member.server, now)) && self.usable(pending, member, now)
         });
         let usable: Vec<_> = usable.collect();
         let free = !usable.is_empty();
@@ -155,7 +155,7 @@
             let shared = f64::from(pending.request.shared_tokens());
             let dear =
                 known.terms.prefill_rate.is_some_and(|reads| shared / f64::from(reads) > FAR);
-            let crosses = dear && self.crosses;
+            let crosses = dear && self.cross_region;
             let near = crosses || known.terms.region == pending.request.region;
             let own = group
                 .is_none_or(|group| pool.isolation.engine(member.region, member.rank) == group);
@@ -165,7 +165,7 @@
         let able = members.filter(|member| {
             let known = &self.servers[member.server];
             let open = !known.leaving() && known.permits.is_none();
-            open && !self.barred(member.server, now)
+            open && !self.is_excluded(member.server, now)
         });
         let mut homes: [Option<(_, ids::Server)>; 2] = [None, None];
         for member in able {
@@ -193,9 +193,9 @@
         let home = copies.homes[0] == Some(member.server);
         let Prefill { reading, cold, copying, shared, fetch } =
             self.prefill(pending, member.server, copies, now)?;
-        let overdue = self.held_up(known, pending.urgency, now);
+        let overdue = self.held_up(known, pending.priority, now);
         let place = self.place_wait(pending, known, unreported, now);
-        let backlog = known.reading.backlog(pending.urgency, now).max(overdue).max(place);
+        let backlog = known.reading.backlog(pending.priority, now).max(overdue).max(place);
         let target = self.classes.get(request.class).map_or(1.0, |c| c.first_token.as_secs_f64());
         let waited = now.saturating_duration_since(request.arrived).as_secs_f64();
         let first = waited + backlog + reading + cold + known.reading.least();
@@ -207,7 +207,7 @@
         let steady = group.is_some_and(|group| group < Group::Bulk);
         let stutter = if steady { backlog } else { 0.0 };
         let crowd = f64::from(known.sent) * CROWD;
-        let faulty = self.faults(known, now) * FAILS;
+        let faulty = self.failure_rate(known, now) * FAILS;
         let strays = if home || shared > FAR { 0.0 } else { STRAYS };
         let busy = known.reading.ahead(u8::MAX, now) * BUSY;
         let cost =
@@ -223,7 +223,7 @@
             return 0.0;
         }
         // What is kept beyond a link that is full is no nearer than what has to be read.
-        if self.crosses { FAR } else { FAR + shared }
+        if self.cross_region { FAR } else { FAR + shared }
     }
 
     /// Counts what a request that was sent costs its engine, for the sizes of the groups.
@@ -231,8 +231,8 @@
         let Chosen { server, reading, backlog, overdue, home, fetch, .. } = chosen;
         let pending = &mut self.jobs[job];
         let known = &mut self.servers[server];
-        pending.reading = reading;
-        pending.ahead = known.reading.ahead(pending.urgency, now);
+        pending.prefill = reading;
+        pending.ahead = known.reading.ahead(pending.priority, now);
         self.prefixes.sent(&pending.request, server, now);
         pending.expected = Some(Expected {
             preferred: home,
@@ -242,8 +242,8 @@
             overdue: Duration::from_secs_f64(overdue),
             fetch,
         });
-        known.reading.sent(pending.urgency, reading);
-        self.rate.add(pending.urgency, now);
+        known.reading.sent(pending.priority, reading);
+        self.send_rate.add(pending.priority, now);
         let tokens = f64::from(pending.tokens);
         let batch = BATCH.min(f64::from(known.slots()) * TAKEN).max(1.0);
         let seconds = reading + tokens * known.interval() / batch;
--- a/components/policy/src/hanging.rs
+++ b/components/policy/src/hanging.rs
@@ -47,7 +47,7 @@
             return overdue;
         }
         for pending in known.jobs.iter().filter_map(|job| self.jobs.get(*job)) {
-            overdue.raise(pending.urgency, self.overdue_by(pending, known, now));
+            overdue.raise(pending.priority, self.overdue_by(pending, known, now));
         }
         overdue
     }
@@ -66,7 +66,7 @@
         let target = self.classes.get(pending.request.class).map(|class| class.first_token);
         let usual = target.unwrap_or_default().as_secs_f64() * EASE;
         let waited = now.saturating_duration_since(pending.sent_at).as_secs_f64();
-        waited - usual.max(pending.reading + known.reading.least())
+        waited - usual.max(pending.prefill + known.reading.least())
     }
 
     /// Whether an engine can be relied on to hand over what it keeps: none of this node's requests waits too
--- a/components/policy/src/pending.rs
+++ b/components/policy/src/pending.rs
@@ -47,7 +47,7 @@
     pub(crate) request: Request,
     pub(crate) tier: u8,
     /// Rank at engines.
-    pub(crate) urgency: u8,
+    pub(crate) priority: u8,
     /// Random number, so that requests of several nodes that know the same don't all choose the same.
     pub(crate) jitter: u64,
     pub(crate) pool: Key,
@@ -56,7 +56,7 @@
     pub(crate) stops: u8,
     pub(crate) stopping: bool,
     /// It was sent ahead of its turn, as its class had waited for its longest wait.
-    pub(crate) overdue: bool,
+    pub(crate) ahead_of_turn: bool,
     /// Tokens that came, of all attempts.
     pub(crate) produced: u32,
     /// Tokens charged to its workspace.
@@ -66,11 +66,11 @@
     /// When it is looked at again.
     pub(crate) timer: Option<Instant>,
     /// Sent later than this it can't end in time.
-    pub(crate) last_call: Instant,
+    pub(crate) latest_send: Instant,
     /// Its last attempt failed there.
     pub(crate) avoid: Option<ids::Server>,
     /// Seconds that the engine reads its prompt for, while its answer hasn't begun.
-    pub(crate) reading: f64,
+    pub(crate) prefill: f64,
     /// Seconds of other prompts that the engine was known to read before it.
     pub(crate) ahead: f64,
     /// What was expected of the engine that it was sent to last.
--- a/components/policy/src/places.rs
+++ b/components/policy/src/places.rs
@@ -119,13 +119,13 @@
     /// assert!(sends.iter().all(|rate| *rate == 0.0));
     /// ```
     pub fn sends(&self, now: Instant) -> Vec<f64> {
-        self.rate.by_rank(now).to_vec()
+        self.send_rate.by_rank(now).to_vec()
     }
 
     /// Takes in the sum of [`Scheduler::sends`] over all other nodes.
     pub fn set_sends(&mut self, others: &[f64], now: Instant) {
-        let every = self.others.received.map_or(Duration::ZERO, |received| now - received);
-        self.others =
+        let every = self.peer_send_rate.received.map_or(Duration::ZERO, |received| now - received);
+        self.peer_send_rate =
             Others { rate: others.into(), received: Some(now), every: every.min(REPORTS) };
     }
 
@@ -136,7 +136,7 @@
         group: Option<Group>,
         now: Instant,
     ) -> Unreported {
-        let unreported = self.others.unreported(pending.urgency, now);
+        let unreported = self.peer_send_rate.unreported(pending.priority, now);
         if unreported == 0.0 {
             return Unreported::default();
         }
@@ -151,7 +151,7 @@
 
     /// Places at an engine that are free for a request, as far as reported.
     pub(crate) fn free(&self, pending: &Pending, known: &server::State, now: Instant) -> f64 {
-        (f64::from(known.slots()) - self.taken(known, pending.urgency, now)).max(0.0)
+        (f64::from(known.slots()) - self.taken(known, pending.priority, now)).max(0.0)
     }
 
     /// Places at an engine that requests take which are as urgent as `rank`, or more, as far as heard.
@@ -173,7 +173,7 @@
         }
         let slots = f64::from(known.slots().max(1));
         let unreported = unreported.at(self.free(pending, known, now));
-        let before = self.taken(known, pending.urgency, now) + unreported;
+        let before = self.taken(known, pending.priority, now) + unreported;
         let behind = (before + 1.0 - slots).max(0.0);
         behind * f64::from(pending.tokens) * known.interval() / slots
     }
--- a/components/policy/src/scheduler.rs
+++ b/components/policy/src/scheduler.rs
@@ -56,8 +56,8 @@
     pub(crate) limits: Limits,
     pub(crate) prefixes: cache::Index,
     /// At what rate this node sends to engines, and others do.
-    pub(crate) rate: places::Rate,
-    pub(crate) others: places::Others,
+    pub(crate) send_rate: places::Rate,
+    pub(crate) peer_send_rate: places::Others,
     pub(crate) timers: BTreeSet<(Instant, ids::Job)>,
     pub(crate) refused: Vec<(ids::Job, Refusal, Duration)>,
     pub(crate) scratch: Vec<Candidate>,
@@ -75,7 +75,7 @@
     pub(crate) jitter: places::Jitter,
     pub(crate) disabled: Without,
     /// A session may have its home in another region.
-    pub(crate) crosses: bool,
+    pub(crate) cross_region: bool,
 }
 
 impl Default for Scheduler {
@@ -117,8 +117,8 @@
             link: Bucket::new(0.0),
             limits: Limits { retry_percent: 10, retry_burst: RETRY_BURST, link_bytes: 1 << 20 },
             prefixes: cache::Index::default(),
-            rate: places::Rate::default(),
-            others: places::Others::default(),
+            send_rate: places::Rate::default(),
+            peer_send_rate: places::Others::default(),
             timers: BTreeSet::new(),
             refused: vec![],
             scratch: vec![],
@@ -132,7 +132,7 @@
             rng: SmallRng::seed_from_u64(seed),
             jitter: places::Jitter::new(seed),
             disabled: Without::default(),
-            crosses: true,
+            cross_region: true,
         }
         .with_limits()
     }
@@ -288,7 +288,7 @@
 
     /// Says whether a session may have its home in another region than its caller's.
     pub fn set_cross_region(&mut self, crosses: bool) {
-        self.crosses = crosses;
+        self.cross_region = crosses;
     }
 
     /// Takes in the sum of [`Scheduler::recent_engine_seconds`] over all nodes.
@@ -460,13 +460,13 @@
                     self.prefixes.begun(&pending.request, server, now);
                     known.begun(took);
                     let begun = Begun {
-                        rank: pending.urgency,
-                        seconds: pending.reading,
+                        rank: pending.priority,
+                        seconds: pending.prefill,
                         ahead: pending.ahead,
                         took: took.as_secs_f64(),
                     };
                     known.reading.begun(begun, now);
-                    pending.reading = 0.0;
+                    pending.prefill = 0.0;
                 }
                 Some(last) => known.paced((now - last) / count.max(1)),
             }
--- a/components/policy/src/status.rs
+++ b/components/policy/src/status.rs
@@ -70,7 +70,7 @@
         let usual = pools.map(|pool| pool.interval).reduce(f64::max);
         let unused = if known.leaving() {
             Some(Unused::Leaving)
-        } else if self.ejected(server, now) {
+        } else if self.is_ejected(server, now) {
             Some(Unused::Ejected)
         } else if !known.free(self.disabled) {
             Some(Unused::Full)
--- a/components/policy/src/stop.rs
+++ b/components/policy/src/stop.rs
@@ -145,7 +145,8 @@
         let left = pending.request.deadline.saturating_duration_since(now).as_secs_f64();
         let needed = self.pools[pending.pool].service(self.rest(pending, 0.5)) * SLACK;
         // What a class gets once in its longest wait is an answer, not the start of one.
-        let spare = !pending.stopping && !pending.overdue && pending.stops < STOPS && needed < left;
+        let spare =
+            !pending.stopping && !pending.ahead_of_turn && pending.stops < STOPS && needed < left;
         spare && known.is_some_and(buys) && self.goes_on(pending)
     }
 
