--- a/components/policy/src/dispatch.rs
+++ b/components/policy/src/dispatch.rs
@@ -72,7 +72,7 @@
         for key in self.pools.keys().collect::<Vec<_>>() {
             self.part(key, now);
             self.measure(key);
-            if self.without.has(Mechanism::EarlyRefusal) {
+            if self.disabled.has(Mechanism::EarlyRefusal) {
                 self.trim(key, now);
             }
         }
@@ -100,7 +100,7 @@
                 continue;
             }
             let shared = users.iter().filter(|user| self.pools[**user].servers.contains(server));
-            let places = f64::from(known.node_slots(self.without));
+            let places = f64::from(known.node_slots(self.disabled));
             rate += places / known.token_interval() / shared.count() as f64;
             intervals.push(known.token_interval());
             firsts.extend(known.first_token_time());
@@ -119,7 +119,7 @@
                 let Some(job) = line.late.tail().or_else(|| line.fresh.tail()) else { break };
                 let pending = &self.jobs[job];
                 let wait = self.forecast(pending, None, now);
-                let bearable = pending.last_call.saturating_duration_since(now).as_secs_f64();
+                let bearable = pending.latest_send.saturating_duration_since(now).as_secs_f64();
                 if wait <= bearable * CONFIDENT || self.promised(pending) {
                     break;
                 }
@@ -139,7 +139,7 @@
                     self.unqueue(job);
                     self.enqueue(job, now);
                 }
-                Stage::Waiting { .. } if now >= pending.last_call => {
+                Stage::Waiting { .. } if now >= pending.latest_send => {
                     self.give_up(job, Refusal::Late, now);
                 }
                 Stage::Waiting { .. } => {
@@ -162,7 +162,7 @@
                 Choice::Full => self.pools[pool].full = self.epoch,
                 Choice::Nobody => self.give_up(job, Refusal::NoServer, now),
                 Choice::Server(server) => {
-                    self.jobs[job].overdue |= overdue;
+                    self.jobs[job].ahead_of_turn |= overdue;
                     self.send(job, server, now);
                     self.pools[pool].lines[index].blocked = 0;
                     actions.push(Action::Send { job, server });
@@ -191,7 +191,7 @@
     }
 
     fn overdue(&self, line: &Line, now: Instant) -> bool {
-        if !self.without.has(Mechanism::LongestWait) {
+        if !self.disabled.has(Mechanism::LongestWait) {
             return false;
         }
         let since = self.turns.get(line.class).and_then(|turn| turn.since);
@@ -212,7 +212,7 @@
             return Choice::Server(chosen.server);
         }
         let mut candidates = std::mem::take(&mut self.scratch);
-        let (pending, without) = (&self.jobs[job], self.without);
+        let (pending, without) = (&self.jobs[job], self.disabled);
         let free = self.candidates(&mut candidates, pending, overdue, now);
         let picked = pick::pick(&candidates, pending.request.prefix, &mut self.rng, without);
         let choice = picked.map_or(if free { Choice::Busy } else { Choice::Full }, Choice::Server);
@@ -233,10 +233,10 @@
         let pool = &self.pools[pending.pool];
         let (rest, safe) = (self.rest(pending, SURE), self.rest(pending, SAFE));
         let left = pending.request.deadline.saturating_duration_since(now).as_secs_f64();
-        let ejected = pool.servers.iter().filter(|key| self.ejected(**key, now)).count();
+        let ejected = pool.servers.iter().filter(|key| self.is_ejected(**key, now)).count();
         // All of a pool out at once says more about this node than about the servers.
         let panic = ejected == pool.servers.len();
-        let link = self.without.has(Mechanism::Link);
+        let link = self.disabled.has(Mechanism::Link);
         let urgent = self.urgent(pending, now);
         let (mut near, mut far, mut free) = (false, 0, false);
         for key in &pool.servers {
@@ -245,35 +245,36 @@
                 continue;
             }
             let here = known.terms.region == pending.request.region;
-            near |= here && !known.leaving() && !self.ejected(*key, now);
-            let place = known.has_free_slot(self.without);
+            near |= here && !known.leaving() && !self.is_ejected(*key, now);
+            let place = known.has_free_slot(self.disabled);
             free |= place;
-            let beyond = !place && urgent && known.has_spare_slots(now, self.without);
+            let beyond = !place && urgent && known.has_spare_slots(now, self.disabled);
             if !place && !beyond {
                 continue;
             }
-            if !self.takes(known, pending, overdue) || (!panic && self.barred(*key, now)) {
+            if !self.takes(known, pending, overdue) || (!panic && self.is_excluded(*key, now)) {
                 continue;
             }
             let interval = known.token_interval();
             let straggles = interval > pool.interval * STRAGGLER;
             let tokens = if straggles { safe } else { rest };
-            let load = known.load(now, self.without);
+            let load = known.load(now, self.disabled);
             let over = (load + 1.0 - f64::from(known.slots())).max(0.0);
             let queue = over * pool.service(USUAL) / f64::from(known.slots().max(1));
             let time = queue
                 + known.first_token_time().unwrap_or(pool.first)
                 + interval * f64::from(tokens);
-            if time > left && !overdue && self.without.has(Mechanism::Fit) {
+            if time > left && !overdue && self.disabled.has(Mechanism::Fit) {
                 continue;
             }
             let load = load / f64::from(known.slots().max(1));
-            let hangs = if known.terms.reads.is_some() || !self.without.has(Mechanism::Ejection) {
-                0.0
-            } else {
-                self.longest_own_overdue(known, now)
-            };
-            let time = time * (1.0 + self.faults(known, now) * FAULTY) + hangs;
+            let hangs =
+                if known.terms.prefill_rate.is_some() || !self.disabled.has(Mechanism::Ejection) {
+                    0.0
+                } else {
+                    self.longest_own_overdue(known, now)
+                };
+            let time = time * (1.0 + self.failure_rate(known, now) * FAULTY) + hangs;
             let candidate = Candidate { server: *key, salt: known.terms.salt, load, time };
             if here || !link {
                 into.insert(into.len() - far, candidate);
@@ -286,7 +287,7 @@
         let spent = |candidate: &Candidate| Some(candidate.server) == pending.avoid;
         let only_far = into[..into.len() - far].iter().all(spent);
         let again = pending.avoid.is_some();
-        if far > 0 && !(only_far && self.crosses(pending, near && !again, now)) {
+        if far > 0 && !(only_far && self.may_cross_link(pending, near && !again, now)) {
             into.truncate(into.len() - far);
         }
         if into.len() > 1
@@ -300,7 +301,7 @@
     /// Whether a server takes requests of this tier now.
     fn takes(&self, known: &server::State, pending: &Pending, overdue: bool) -> bool {
         let awaited =
-            known.peer_waiting_tier(self.without).is_some_and(|waiting| waiting < pending.tier);
+            known.peer_waiting_tier(self.disabled).is_some_and(|waiting| waiting < pending.tier);
         !known.leaving() && (!awaited || overdue)
     }
 
@@ -311,25 +312,25 @@
     }
 
     /// Part of its attempts of late that failed.
-    pub(crate) fn faults(&self, known: &server::State, now: Instant) -> f64 {
-        let told = self.without.has(Mechanism::Ejection) && self.without.has(Mechanism::Faults);
+    pub(crate) fn failure_rate(&self, known: &server::State, now: Instant) -> f64 {
+        let told = self.disabled.has(Mechanism::Ejection) && self.disabled.has(Mechanism::Faults);
         if told { known.health.faults(now) } else { 0.0 }
     }
 
-    pub(crate) fn ejected(&self, server: ids::Server, now: Instant) -> bool {
+    pub(crate) fn is_ejected(&self, server: ids::Server, now: Instant) -> bool {
         let known = &self.servers[server];
-        self.without.has(Mechanism::Ejection)
+        self.disabled.has(Mechanism::Ejection)
             && (known.health.ejected(now) || known.reports_stopped(now))
     }
 
-    pub(crate) fn barred(&self, server: ids::Server, now: Instant) -> bool {
+    pub(crate) fn is_excluded(&self, server: ids::Server, now: Instant) -> bool {
         let known = &self.servers[server];
         let probed = known.health.probed() && known.sent > 0;
-        self.ejected(server, now) || (self.without.has(Mechanism::Ejection) && probed)
+        self.is_ejected(server, now) || (self.disabled.has(Mechanism::Ejection) && probed)
     }
 
     /// Whether a request may cross the link: it buys a target, and the budget bears it.
-    fn crosses(&self, pending: &Pending, near: bool, now: Instant) -> bool {
+    fn may_cross_link(&self, pending: &Pending, near: bool, now: Instant) -> bool {
         let target =
             self.classes.get(pending.request.class).map_or(Duration::ZERO, |c| c.first_token);
         let waited = now.saturating_duration_since(pending.request.arrived);
@@ -347,7 +348,7 @@
         let (class, workspace, tier) =
             (pending.request.class, pending.request.workspace, pending.tier);
         let (pool, tokens, first) = (pending.pool, pending.tokens, pending.attempts == 1);
-        let (model, urgency) = (pending.request.model, pending.urgency);
+        let (model, urgency) = (pending.request.model, pending.priority);
         let bytes = pending.request.prompt_tokens * PROMPT_BYTES + tokens * EVENT_BYTES;
         let charge = fair::cost(pending.request.prompt_tokens, pending.produced + tokens);
         let more = i64::from(charge) - i64::from(pending.charged);
