--- a/components/policy/src/dispatch.rs
+++ b/components/policy/src/dispatch.rs
@@ -15,7 +15,7 @@
 use crate::pick::{self, Candidate};
 use crate::pool::{Key, Line};
 use crate::scheduler::Scheduler;
-use crate::server::{self, FIRST, INTERVAL};
+use crate::server::{self, DEFAULT_FIRST_TOKEN_SECONDS, DEFAULT_TOKEN_SECONDS};
 
 /// How often forecasts and what depends on time alone are looked at while requests wait: well under
 /// every first-token target, and a tenth of the time between reports.
@@ -86,7 +86,7 @@
         for member in &pool.members {
             *engines.entry(member.region).or_insert(0) += 1;
         }
-        pool.isolation.measure(&engines, now);
+        pool.isolation.update_borders(&engines, now);
     }
 
     /// Measures what a pool can do.
@@ -100,15 +100,15 @@
                 continue;
             }
             let shared = users.iter().filter(|user| self.pools[**user].servers.contains(server));
-            let places = f64::from(known.places(self.disabled));
-            rate += places / known.interval() / shared.count() as f64;
-            intervals.push(known.interval());
-            firsts.extend(known.first());
+            let places = f64::from(known.node_slots(self.disabled));
+            rate += places / known.token_interval() / shared.count() as f64;
+            intervals.push(known.token_interval());
+            firsts.extend(known.first_token_time());
         }
         let pool = &mut self.pools[key];
         pool.rate = rate;
-        pool.interval = median(&mut intervals).unwrap_or(INTERVAL);
-        pool.first = median(&mut firsts).unwrap_or(FIRST);
+        pool.interval = median(&mut intervals).unwrap_or(DEFAULT_TOKEN_SECONDS);
+        pool.first = median(&mut firsts).unwrap_or(DEFAULT_FIRST_TOKEN_SECONDS);
     }
 
     /// Gives up what can't be served in time, from the end of each line.
@@ -203,12 +203,12 @@
         if !self.staffed(self.jobs[job].pool) {
             return Choice::Nobody;
         }
-        if self.reads(&self.jobs[job]) {
-            let (chosen, free) = self.engine(&self.jobs[job], now);
+        if self.prefill_rates_known(&self.jobs[job]) {
+            let (chosen, free) = self.select_engine(&self.jobs[job], now);
             let Some(chosen) = chosen else {
                 return if free { Choice::Busy } else { Choice::Full };
             };
-            self.engaged(job, chosen, now);
+            self.record_engine_send(job, chosen, now);
             return Choice::Server(chosen.server);
         }
         let mut candidates = std::mem::take(&mut self.scratch);
@@ -241,27 +241,29 @@
         let (mut near, mut far, mut free) = (false, 0, false);
         for key in &pool.servers {
             let known = &self.servers[*key];
-            if !known.permitted(now) {
+            if !known.has_permit(now) {
                 continue;
             }
             let here = known.terms.region == pending.request.region;
             near |= here && !known.leaving() && !self.is_ejected(*key, now);
-            let place = known.free(self.disabled);
+            let place = known.has_free_slot(self.disabled);
             free |= place;
-            let beyond = !place && urgent && known.roomy(now, self.disabled);
+            let beyond = !place && urgent && known.has_spare_slots(now, self.disabled);
             if !place && !beyond {
                 continue;
             }
             if !self.takes(known, pending, overdue) || (!panic && self.is_excluded(*key, now)) {
                 continue;
             }
-            let interval = known.interval();
+            let interval = known.token_interval();
             let straggles = interval > pool.interval * STRAGGLER;
             let tokens = if straggles { safe } else { rest };
             let load = known.load(now, self.disabled);
             let over = (load + 1.0 - f64::from(known.slots())).max(0.0);
             let queue = over * pool.service(USUAL) / f64::from(known.slots().max(1));
-            let time = queue + known.first().unwrap_or(pool.first) + interval * f64::from(tokens);
+            let time = queue
+                + known.first_token_time().unwrap_or(pool.first)
+                + interval * f64::from(tokens);
             if time > left && !overdue && self.disabled.has(Mechanism::Fit) {
                 continue;
             }
@@ -270,7 +272,7 @@
                 if known.terms.prefill_rate.is_some() || !self.disabled.has(Mechanism::Ejection) {
                     0.0
                 } else {
-                    self.hangs(known, now)
+                    self.longest_own_overdue(known, now)
                 };
             let time = time * (1.0 + self.failure_rate(known, now) * FAULTY) + hangs;
             let candidate = Candidate { server: *key, salt: known.terms.salt, load, time };
@@ -298,7 +300,8 @@
 
     /// Whether a server takes requests of this tier now.
     fn takes(&self, known: &server::State, pending: &Pending, overdue: bool) -> bool {
-        let awaited = known.awaited(self.disabled).is_some_and(|waiting| waiting < pending.tier);
+        let awaited =
+            known.peer_waiting_tier(self.disabled).is_some_and(|waiting| waiting < pending.tier);
         !known.leaving() && (!awaited || overdue)
     }
 
@@ -316,7 +319,8 @@
 
     pub(crate) fn is_ejected(&self, server: ids::Server, now: Instant) -> bool {
         let known = &self.servers[server];
-        self.disabled.has(Mechanism::Ejection) && (known.health.ejected(now) || known.silent(now))
+        self.disabled.has(Mechanism::Ejection)
+            && (known.health.ejected(now) || known.reports_stopped(now))
     }
 
     pub(crate) fn is_excluded(&self, server: ids::Server, now: Instant) -> bool {
@@ -350,7 +354,7 @@
         let more = i64::from(charge) - i64::from(pending.charged);
         pending.charged = charge;
         let far = self.servers[server].terms.region != pending.request.region;
-        self.servers[server].send(job, urgency, now);
+        self.servers[server].record_send(job, urgency, now);
         let lane = self.lane(workspace);
         let counter = self.fair.workspace(class, lane);
         let line = self.pools[pool].line(tier, class);
--- a/components/policy/src/engines.rs
+++ b/components/policy/src/engines.rs
@@ -11,15 +11,15 @@
 
 use std::time::{Duration, Instant};
 
-use crate::copies::{Copies, Prefill};
 use crate::isolation::Group;
 use crate::mechanism::Mechanism;
 use crate::pending::{Expected, Pending};
-use crate::pick::mix;
-use crate::places::Unreported;
+use crate::pick::mix64;
 use crate::pool::Member;
+use crate::prefix::{Copies, Cost};
 use crate::scheduler::Scheduler;
 use crate::server;
+use crate::slots::Unreported;
 
 /// Part of the first-token target that a request may wait at its preferred engine.
 pub(crate) const EASE: f64 = 0.5;
@@ -83,7 +83,7 @@
 
 impl Scheduler {
     /// Whether it is known how fast the servers of a request read.
-    pub(crate) fn reads(&self, pending: &Pending) -> bool {
+    pub(crate) fn prefill_rates_known(&self, pending: &Pending) -> bool {
         let servers = &self.pools[pending.pool].servers;
         self.disabled.has(Mechanism::Reading)
             && servers.iter().any(|key| self.servers[*key].terms.prefill_rate.is_some())
@@ -91,10 +91,10 @@
 
     /// The engine for a request; none if none may take it now. The second part tells whether any had
     /// a place.
-    pub(crate) fn engine(&self, pending: &Pending, now: Instant) -> (Option<Chosen>, bool) {
+    pub(crate) fn select_engine(&self, pending: &Pending, now: Instant) -> (Option<Chosen>, bool) {
         let pool = &self.pools[pending.pool];
         let grouped = self.disabled.has(Mechanism::Groups);
-        let group = pool.isolation.group(self.pause(pending)).filter(|_| grouped);
+        let group = pool.isolation.class_group(self.pause(pending)).filter(|_| grouped);
         let homes = self.homes(pending, group, now);
         let copies = self.copies(pending, homes, now);
         let unreported = self.unreported(pending, group, now);
@@ -133,7 +133,7 @@
         let known = &self.servers[member.server];
         let avoided =
             pending.avoid == Some(member.server) && self.pools[pending.pool].members.len() > 1;
-        let room = known.free(self.disabled) && known.permitted(now);
+        let room = known.has_free_slot(self.disabled) && known.has_permit(now);
         room && !known.leaving() && !avoided
     }
 
@@ -157,9 +157,10 @@
                 known.terms.prefill_rate.is_some_and(|reads| shared / f64::from(reads) > FAR);
             let crosses = dear && self.cross_region;
             let near = crosses || known.terms.region == pending.request.region;
-            let own = group
-                .is_none_or(|group| pool.isolation.engine(member.region, member.rank) == group);
-            (near, own, mix(pending.request.prefix ^ known.terms.salt))
+            let own = group.is_none_or(|group| {
+                pool.isolation.engine_group(member.region, member.rank) == group
+            });
+            (near, own, mix64(pending.request.prefix ^ known.terms.salt))
         };
         let members = pool.members.iter();
         let able = members.filter(|member| {
@@ -191,25 +192,25 @@
         let known = &self.servers[member.server];
         let request = &pending.request;
         let home = copies.homes[0] == Some(member.server);
-        let Prefill { reading, cold, copying, shared, fetch } =
+        let Cost { reading, cold, copying, shared, fetch } =
             self.prefill(pending, member.server, copies, now)?;
         let overdue = self.held_up(known, pending.priority, now);
         let place = self.place_wait(pending, known, unreported, now);
-        let backlog = known.reading.backlog(pending.priority, now).max(overdue).max(place);
+        let backlog = known.prefill.backlog(pending.priority, now).max(overdue).max(place);
         let target = self.classes.get(request.class).map_or(1.0, |c| c.first_token.as_secs_f64());
         let waited = now.saturating_duration_since(request.arrived).as_secs_f64();
-        let first = waited + backlog + reading + cold + known.reading.least();
+        let first = waited + backlog + reading + cold + known.prefill.least();
         let ease = if shared > FAR { STAYS } else { EASE };
         let late = (first - target * ease).max(0.0) * LATE;
         let far = self.far(pending, known, shared);
-        let engines = self.pools[pending.pool].isolation.engine(member.region, member.rank);
+        let engines = self.pools[pending.pool].isolation.engine_group(member.region, member.rank);
         let strange = strange(group, engines, reading, backlog);
         let steady = group.is_some_and(|group| group < Group::Bulk);
         let stutter = if steady { backlog } else { 0.0 };
         let crowd = f64::from(known.sent) * CROWD;
         let faulty = self.failure_rate(known, now) * FAILS;
         let strays = if home || shared > FAR { 0.0 } else { STRAYS };
-        let busy = known.reading.ahead(u8::MAX, now) * BUSY;
+        let busy = known.prefill.ahead(u8::MAX, now) * BUSY;
         let cost =
             reading + copying + busy + late + far + strange + stutter + crowd + faulty + strays;
         let reading = reading + cold;
@@ -227,13 +228,13 @@
     }
 
     /// Counts what a request that was sent costs its engine, for the sizes of the groups.
-    pub(crate) fn engaged(&mut self, job: ids::Job, chosen: Chosen, now: Instant) {
+    pub(crate) fn record_engine_send(&mut self, job: ids::Job, chosen: Chosen, now: Instant) {
         let Chosen { server, reading, backlog, overdue, home, fetch, .. } = chosen;
         let pending = &mut self.jobs[job];
         let known = &mut self.servers[server];
         pending.prefill = reading;
-        pending.ahead = known.reading.ahead(pending.priority, now);
-        self.prefixes.sent(&pending.request, server, now);
+        pending.ahead = known.prefill.ahead(pending.priority, now);
+        self.prefixes.record_send(&pending.request, server, now);
         pending.expected = Some(Expected {
             preferred: home,
             prefill: Duration::from_secs_f64(reading),
@@ -242,14 +243,14 @@
             overdue: Duration::from_secs_f64(overdue),
             fetch,
         });
-        known.reading.sent(pending.priority, reading);
+        known.prefill.sent(pending.priority, reading);
         self.send_rate.add(pending.priority, now);
         let tokens = f64::from(pending.tokens);
         let batch = BATCH.min(f64::from(known.slots()) * TAKEN).max(1.0);
-        let seconds = reading + tokens * known.interval() / batch;
+        let seconds = reading + tokens * known.token_interval() / batch;
         let pause = self.pause(&self.jobs[job]);
         let pool = self.jobs[job].pool;
-        self.pools[pool].isolation.add(pause, seconds, now);
+        self.pools[pool].isolation.add_work(pause, seconds, now);
     }
 }
 
--- a/components/policy/src/status.rs
+++ b/components/policy/src/status.rs
@@ -72,19 +72,19 @@
             Some(Unused::Leaving)
         } else if self.is_ejected(server, now) {
             Some(Unused::Ejected)
-        } else if !known.free(self.disabled) {
+        } else if !known.has_free_slot(self.disabled) {
             Some(Unused::Full)
-        } else if usual.is_some_and(|usual| known.interval() > usual * STRAGGLER) {
+        } else if usual.is_some_and(|usual| known.token_interval() > usual * STRAGGLER) {
             Some(Unused::Straggling)
         } else {
             None
         };
         Some(Status {
             sent: known.sent,
-            slots: known.places(self.disabled),
+            slots: known.node_slots(self.disabled),
             load: known.load(now, self.disabled),
-            interval: Duration::from_secs_f64(known.interval()),
-            age: known.age(now),
+            interval: Duration::from_secs_f64(known.token_interval()),
+            age: known.report_age(now),
             unused,
         })
     }
