--- a/components/forward/src/state.rs
+++ b/components/forward/src/state.rs
@@ -114,9 +114,9 @@
         let clock = clock::Runtime::new();
         let seed = xxhash_rust::xxh3::xxh3_64(node.name.as_bytes());
         let mut scheduler = Scheduler::with_seed(seed)
-            .without(Mechanism::Fit)
+            .without(Mechanism::DeadlineFit)
             .without(Mechanism::EarlyRefusal)
-            .without(Mechanism::Stopping);
+            .without(Mechanism::Preemption);
         scheduler.set_limits(limits(&node));
         let without = node.left_out();
         for mechanism in &without.decisions {
--- a/components/policy/examples/patterns/main.rs
+++ b/components/policy/examples/patterns/main.rs
@@ -133,7 +133,13 @@
         };
         line("-", whole);
         for mechanism in Mechanism::ALL.iter().copied() {
-            line(&format!("{mechanism:?}"), sums(pattern, seeds, Some(mechanism)));
+            line(&label(mechanism), sums(pattern, seeds, Some(mechanism)));
         }
     }
 }
+
+/// The settings word of a mechanism in upper camel case, as the table prints it.
+fn label(mechanism: Mechanism) -> String {
+    let words = mechanism.as_str().split('-');
+    words.map(|word| word[..1].to_uppercase() + &word[1..]).collect()
+}
--- a/components/policy/src/admit.rs
+++ b/components/policy/src/admit.rs
@@ -100,7 +100,7 @@
     pub(crate) fn rest(&self, pending: &Pending, part: f64) -> u32 {
         let request = &pending.request;
         let most = request.max_tokens.unwrap_or(u32::MAX).saturating_sub(pending.produced).max(1);
-        if !self.without.has(Mechanism::Lengths) {
+        if !self.without.lacks(Mechanism::LengthEstimates) {
             return 128.min(most);
         }
         let (class, workspace) = (request.class, request.workspace);
@@ -112,7 +112,7 @@
         let pending = &self.jobs[job];
         let rest = self.rest(pending, 0.5);
         let time = self.pools[pending.pool].service(self.rest(pending, SURE));
-        let fit = self.without.has(Mechanism::Fit);
+        let fit = self.without.lacks(Mechanism::DeadlineFit);
         let pending = &mut self.jobs[job];
         pending.tokens = rest;
         let deadline = pending.request.deadline;
@@ -130,7 +130,7 @@
         let target = self.classes.get(class).map_or(Duration::ZERO, |class| class.first_token);
         let reading = Duration::from_secs_f64(self.pools[pool].first * READING);
         let late_at = pending.request.arrived + target.saturating_sub(reading);
-        let late = !begun && late_at <= now && self.without.has(Mechanism::Yielding);
+        let late = !begun && late_at <= now && self.without.lacks(Mechanism::Yielding);
         let lane = self.lane(workspace);
         let counter = self.lift(pool, tier, class, lane);
         let open = self.open(workspace);
@@ -140,7 +140,7 @@
         line.blocked = 0;
         let pending = &mut self.jobs[job];
         pending.stage = Stage::Waiting { late };
-        let yields = !late && !begun && self.without.has(Mechanism::Yielding);
+        let yields = !late && !begun && self.without.lacks(Mechanism::Yielding);
         let timer = if yields { late_at.min(pending.last_call) } else { pending.last_call };
         pending.timer = Some(timer);
         self.timers.insert((timer, job));
@@ -149,7 +149,7 @@
 
     /// Brings counters of a class and a lane that were idle up to those that weren't.
     fn lift(&mut self, pool: Key, tier: u8, class: ids::Class, lane: ids::Workspace) -> u64 {
-        if !self.without.has(Mechanism::Fairness) {
+        if !self.without.lacks(Mechanism::Fairness) {
             return 0;
         }
         let busy = |class: ids::Class| {
@@ -228,7 +228,7 @@
 
     /// Whether the longest wait of its class brings a request its turn in time.
     pub(crate) fn promised(&self, pending: &Pending) -> bool {
-        if !self.without.has(Mechanism::LongestWait) {
+        if !self.without.lacks(Mechanism::LongestWait) {
             return false;
         }
         let class = pending.request.class;
@@ -242,7 +242,7 @@
     /// When a request that can't be served in time had better be sent again.
     fn hopeless(&self, job: ids::Job, now: Instant) -> Option<Duration> {
         let pending = &self.jobs[job];
-        let early = self.without.has(Mechanism::EarlyRefusal);
+        let early = self.without.lacks(Mechanism::EarlyRefusal);
         let wait = self.forecast(pending, Some(self.lane(pending.request.workspace)), now);
         let bearable = pending.last_call.saturating_duration_since(now).as_secs_f64();
         let over = wait > bearable * CONFIDENT && !self.promised(pending);
@@ -293,7 +293,7 @@
             let longest = bands().max_by_key(|band| band.longest());
             return late().or(longest)?.tail();
         }
-        if !self.without.has(Mechanism::Fairness) {
+        if !self.without.lacks(Mechanism::Fairness) {
             return None;
         }
         let longest = bands().max_by_key(|band| band.longest())?;
--- a/components/policy/src/attempt.rs
+++ b/components/policy/src/attempt.rs
@@ -64,7 +64,7 @@
         if !repeatable || pending.attempts >= attempts || now >= pending.last_call {
             return false;
         }
-        !self.without.has(Mechanism::RetryBudget) || self.retries(model).take(1.0)
+        !self.without.lacks(Mechanism::RetryBudget) || self.retries(model).take(1.0)
     }
 
     /// Takes the place of an ended attempt back and puts its charge right.
--- a/components/policy/src/copies.rs
+++ b/components/policy/src/copies.rs
@@ -76,13 +76,13 @@
         });
         let near =
             |source: &ids::Server| self.servers[*source].terms.region == pending.request.region;
-        let source = sound.max_by_key(near).filter(|_| self.without.has(Mechanism::Fetching));
+        let source = sound.max_by_key(near).filter(|_| self.without.lacks(Mechanism::PrefixFetch));
         Copies { homes, known, source }
     }
 
     /// Tokens of a prompt's beginning that an engine keeps.
     fn kept(&self, pending: &Pending, server: ids::Server, now: Instant) -> u32 {
-        if !self.without.has(Mechanism::Holdings) {
+        if !self.without.lacks(Mechanism::PrefixIndex) {
             return 0;
         }
         self.prefixes.kept(&pending.request.shared, server, now)
--- a/components/policy/src/dispatch.rs
+++ b/components/policy/src/dispatch.rs
@@ -72,7 +72,7 @@
         for key in self.pools.keys().collect::<Vec<_>>() {
             self.part(key, now);
             self.measure(key);
-            if self.without.has(Mechanism::EarlyRefusal) {
+            if self.without.lacks(Mechanism::EarlyRefusal) {
                 self.trim(key, now);
             }
         }
@@ -191,7 +191,7 @@
     }
 
     fn overdue(&self, line: &Line, now: Instant) -> bool {
-        if !self.without.has(Mechanism::LongestWait) {
+        if !self.without.lacks(Mechanism::LongestWait) {
             return false;
         }
         let since = self.turns.get(line.class).and_then(|turn| turn.since);
@@ -236,7 +236,7 @@
         let ejected = pool.servers.iter().filter(|key| self.ejected(**key, now)).count();
         // All of a pool out at once says more about this node than about the servers.
         let panic = ejected == pool.servers.len();
-        let link = self.without.has(Mechanism::Link);
+        let link = self.without.lacks(Mechanism::LinkBudget);
         let urgent = self.urgent(pending, now);
         let (mut near, mut far, mut free) = (false, 0, false);
         for key in &pool.servers {
@@ -262,11 +262,11 @@
             let over = (load + 1.0 - f64::from(known.slots())).max(0.0);
             let queue = over * pool.service(USUAL) / f64::from(known.slots().max(1));
             let time = queue + known.first().unwrap_or(pool.first) + interval * f64::from(tokens);
-            if time > left && !overdue && self.without.has(Mechanism::Fit) {
+            if time > left && !overdue && self.without.lacks(Mechanism::DeadlineFit) {
                 continue;
             }
             let load = load / f64::from(known.slots().max(1));
-            let hangs = if known.terms.reads.is_some() || !self.without.has(Mechanism::Ejection) {
+            let hangs = if known.terms.reads.is_some() || !self.without.lacks(Mechanism::Ejection) {
                 0.0
             } else {
                 self.hangs(known, now)
@@ -309,19 +309,20 @@
 
     /// Part of its attempts of late that failed.
     pub(crate) fn faults(&self, known: &server::State, now: Instant) -> f64 {
-        let told = self.without.has(Mechanism::Ejection) && self.without.has(Mechanism::Faults);
+        let told =
+            self.without.lacks(Mechanism::Ejection) && self.without.lacks(Mechanism::FailureRate);
         if told { known.health.faults(now) } else { 0.0 }
     }
 
     pub(crate) fn ejected(&self, server: ids::Server, now: Instant) -> bool {
         let known = &self.servers[server];
-        self.without.has(Mechanism::Ejection) && (known.health.ejected(now) || known.silent(now))
+        self.without.lacks(Mechanism::Ejection) && (known.health.ejected(now) || known.silent(now))
     }
 
     pub(crate) fn barred(&self, server: ids::Server, now: Instant) -> bool {
         let known = &self.servers[server];
         let probed = known.health.probed() && known.sent > 0;
-        self.ejected(server, now) || (self.without.has(Mechanism::Ejection) && probed)
+        self.ejected(server, now) || (self.without.lacks(Mechanism::Ejection) && probed)
     }
 
     /// Whether a request may cross the link: it buys a target, and the budget bears it.
--- a/components/policy/src/engines.rs
+++ b/components/policy/src/engines.rs
@@ -85,7 +85,7 @@
     /// Whether it is known how fast the servers of a request read.
     pub(crate) fn reads(&self, pending: &Pending) -> bool {
         let servers = &self.pools[pending.pool].servers;
-        self.without.has(Mechanism::Reading)
+        self.without.lacks(Mechanism::PrefillCost)
             && servers.iter().any(|key| self.servers[*key].terms.reads.is_some())
     }
 
@@ -93,7 +93,7 @@
     /// a place.
     pub(crate) fn engine(&self, pending: &Pending, now: Instant) -> (Option<Chosen>, bool) {
         let pool = &self.pools[pending.pool];
-        let grouped = self.without.has(Mechanism::Groups);
+        let grouped = self.without.lacks(Mechanism::IsolationGroups);
         let group = pool.isolation.group(self.pause(pending)).filter(|_| grouped);
         let homes = self.homes(pending, group, now);
         let copies = self.copies(pending, homes, now);
@@ -146,7 +146,7 @@
         group: Option<Group>,
         now: Instant,
     ) -> [Option<ids::Server>; 2] {
-        if !self.without.has(Mechanism::Homes) {
+        if !self.without.lacks(Mechanism::PreferredEngine) {
             return [None; 2];
         }
         let pool = &self.pools[pending.pool];
--- a/components/policy/src/hanging.rs
+++ b/components/policy/src/hanging.rs
@@ -43,7 +43,7 @@
     /// meanwhile waits as well.
     pub(crate) fn overdue_here(&self, known: &server::State, now: Instant) -> Ranked {
         let mut overdue = Ranked::default();
-        if !self.without.has(Mechanism::Hanging) {
+        if !self.without.lacks(Mechanism::StallDetection) {
             return overdue;
         }
         for pending in known.jobs.iter().filter_map(|job| self.jobs.get(*job)) {
@@ -83,7 +83,7 @@
     /// has few requests at an engine: going by its own, each leaves out one that is merely full.
     pub(crate) fn hung(&self, pending: &Pending, server: ids::Server, now: Instant) -> bool {
         let Some(known) = self.servers.get(server) else { return false };
-        let reads = known.terms.reads.is_some() && self.without.has(Mechanism::Hanging);
+        let reads = known.terms.reads.is_some() && self.without.lacks(Mechanism::StallDetection);
         let silent = known.reading.last_begun() <= Some(pending.sent_at);
         reads && silent && self.overdue_by(pending, known, now) > SILENT
     }
--- a/components/policy/src/mechanism.rs
+++ b/components/policy/src/mechanism.rs
@@ -1,69 +1,71 @@
-//! The mechanisms one by one, so that an experiment can measure what each of them buys.
+//! Names the mechanisms of the scheduler, so that each can be disabled on its own: an ablation compares
+//! the results with and without it.
 
 derives::named! {
-    /// A mechanism of the decisions that can be left out.
+    /// A mechanism of the scheduler that can be disabled.
     pub enum Mechanism {
-        /// Workspaces and classes take turns by tokens; else in order of arrival.
+        /// Workspaces and classes are served by weighted token counters; otherwise in order of arrival.
         Fairness = "fairness",
         /// Requests that missed their first-token target let others of their class go first.
         Yielding = "yielding",
-        /// Requests that can't be served in time are refused at once.
+        /// Requests that can't be served in time are refused on arrival.
         EarlyRefusal = "early-refusal",
-        /// A class that wasn't served for its longest wait goes ahead of its turn.
+        /// A class that hasn't been served for its longest wait is served out of order.
         LongestWait = "longest-wait",
-        /// Places of a backend server follow its token intervals.
+        /// The number of usable slots of a backend server follows its token intervals.
         AdaptiveLimit = "adaptive-limit",
         /// Load reports are corrected by what was sent since, and discounted by age.
-        Correction = "correction",
-        /// The better of two random choices among near-equals; else the best as it seems.
+        LoadCorrection = "correction",
+        /// The better of two random choices among near-equals; otherwise the one with the best score.
         TwoChoices = "two-choices",
-        /// Prompts with the same head go to the same backend server.
+        /// Prompts with the same prefix go to the same backend server.
         Affinity = "affinity",
-        /// Backend servers that fail are left out for a while.
+        /// Backend servers that fail are ejected for a while.
         Ejection = "ejection",
-        /// Retries are a part of fresh work.
+        /// Retries are limited to a percentage of first attempts.
         RetryBudget = "retry-budget",
-        /// Lower-tier streams are stopped for a higher tier's target.
-        Stopping = "stopping",
-        /// Lengths of answers are learnt by class and workspace.
-        Lengths = "lengths",
-        /// A request isn't sent where it can't end in time.
-        Fit = "fit",
-        /// Places are shared with peers, and tiers hold across nodes.
-        Sharing = "sharing",
-        /// The link between regions is used only where it buys a target.
-        Link = "link",
-        /// What prompts cost an engine to read decides where they go; else load alone.
-        Reading = "reading",
-        /// Each session has a home among the engines.
-        Homes = "homes",
-        /// Streams that bear no pauses keep to engines of their own.
-        Groups = "groups",
-        /// Those groups follow the work of all nodes; else that of the node itself.
+        /// Lower-tier streams are stopped where a higher tier would miss its target.
+        Preemption = "stopping",
+        /// The lengths of answers are estimated from past ones, by class and workspace.
+        LengthEstimates = "lengths",
+        /// A request isn't sent to a server where it would miss its deadline.
+        DeadlineFit = "fit",
+        /// Slots are divided among the nodes, and tiers are respected across nodes.
+        SlotSharing = "sharing",
+        /// Requests cross the link between regions only where that meets a target and the budget allows.
+        LinkBudget = "link",
+        /// Engines are chosen by the prefill time that a prompt costs them; otherwise by load alone.
+        PrefillCost = "reading",
+        /// Each session has a preferred engine.
+        PreferredEngine = "homes",
+        /// Streams that tolerate no pauses have engines of their own.
+        IsolationGroups = "groups",
+        /// The sizes of those groups follow the work of all nodes; otherwise that of the node itself.
         FleetWork = "fleet-work",
-        /// An engine whose requests wait long for a beginning counts as backed up.
-        Hanging = "hanging",
-        /// Places that all nodes' requests take at engines are counted.
-        Places = "places",
-        /// What engines keep of prompts is remembered.
-        Holdings = "holdings",
-        /// An engine takes over what another one keeps of a prompt.
-        Fetching = "fetching",
-        /// Servers that fail a part of their requests are passed over.
-        Faults = "faults",
+        /// An engine whose requests wait too long for their first token counts as backed up.
+        StallDetection = "hanging",
+        /// Slots that the requests of all nodes occupy at engines are counted.
+        SlotCounts = "places",
+        /// The scheduler remembers which prompt prefixes each engine has cached.
+        PrefixIndex = "holdings",
+        /// An engine fetches a cached prefix from another one.
+        PrefixFetch = "fetching",
+        /// Servers that fail some of their requests are chosen less often.
+        FailureRate = "faults",
     }
 }
 
-/// Which mechanisms are left out.
+/// The set of mechanisms that are disabled.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Without(u32);
+pub(crate) struct Disabled(u32);
 
-impl Without {
-    pub(crate) fn leave_out(&mut self, mechanism: Mechanism) {
+impl Disabled {
+    pub(crate) fn disable(&mut self, mechanism: Mechanism) {
         self.0 |= 1 << mechanism as u32;
     }
 
-    pub(crate) fn has(self, mechanism: Mechanism) -> bool {
+    /// Whether a mechanism is in use, that is, not in this set.
+    pub(crate) fn lacks(self, mechanism: Mechanism) -> bool {
         self.0 & (1 << mechanism as u32) == 0
     }
 }
--- a/components/policy/src/pick.rs
+++ b/components/policy/src/pick.rs
@@ -11,7 +11,7 @@
 use rand::Rng;
 use rand::rngs::SmallRng;
 
-use crate::mechanism::{Mechanism, Without};
+use crate::mechanism::{Disabled, Mechanism};
 
 /// Scores within this part of the best are as good as it: about the error of a load that is a
 /// second old.
@@ -43,16 +43,16 @@
     candidates: &[Candidate],
     prefix: u64,
     rng: &mut SmallRng,
-    without: Without,
+    without: Disabled,
 ) -> Option<ids::Server> {
     let best = candidates.iter().min_by(|a, b| a.score().total_cmp(&b.score()))?;
     let near = best.score() * NEAR;
-    if without.has(Mechanism::Affinity)
+    if without.lacks(Mechanism::Affinity)
         && let Some(home) = home(candidates, prefix, near)
     {
         return Some(home);
     }
-    if !without.has(Mechanism::TwoChoices) {
+    if !without.lacks(Mechanism::TwoChoices) {
         return Some(best.server);
     }
     let equals = || candidates.iter().filter(|candidate| candidate.score() <= near);
--- a/components/policy/src/places.rs
+++ b/components/policy/src/places.rs
@@ -168,7 +168,7 @@
         unreported: Unreported,
         now: Instant,
     ) -> f64 {
-        if !self.without.has(Mechanism::Places) {
+        if !self.without.lacks(Mechanism::SlotCounts) {
             return 0.0;
         }
         let slots = f64::from(known.slots().max(1));
--- a/components/policy/src/scheduler.rs
+++ b/components/policy/src/scheduler.rs
@@ -13,7 +13,7 @@
 use crate::fair::{self, Fair};
 use crate::isolation::GROUPS;
 use crate::length::Lengths;
-use crate::mechanism::{Mechanism, Without};
+use crate::mechanism::{Disabled, Mechanism};
 use crate::need::Needs;
 use crate::pending::{Expected, Pending, Stage};
 use crate::pick::Candidate;
@@ -73,7 +73,7 @@
     pub(crate) top: u8,
     pub(crate) rng: SmallRng,
     pub(crate) jitter: places::Jitter,
-    pub(crate) without: Without,
+    pub(crate) without: Disabled,
     /// A session may have its home in another region.
     pub(crate) crosses: bool,
 }
@@ -131,7 +131,7 @@
             top: u8::MAX,
             rng: SmallRng::seed_from_u64(seed),
             jitter: places::Jitter::new(seed),
-            without: Without::default(),
+            without: Disabled::default(),
             crosses: true,
         }
         .with_limits()
@@ -149,7 +149,7 @@
     /// assert_eq!(scheduler.waiting(), 0);
     /// ```
     pub fn without(mut self, mechanism: Mechanism) -> Self {
-        self.without.leave_out(mechanism);
+        self.without.disable(mechanism);
         self
     }
 
@@ -293,7 +293,7 @@
 
     /// Takes in the sum of [`Scheduler::engaged_of_late`] over all nodes.
     pub fn set_fleet(&mut self, seconds: [f64; GROUPS], now: Instant) {
-        if !self.without.has(Mechanism::FleetWork) {
+        if !self.without.lacks(Mechanism::FleetWork) {
             return;
         }
         for pool in self.pools.values_mut() {
@@ -339,12 +339,12 @@
 
     /// The lane of a workspace; a single one for all when turns are left out.
     pub(crate) fn lane(&self, workspace: ids::Workspace) -> ids::Workspace {
-        if self.without.has(Mechanism::Fairness) { workspace } else { ids::Workspace::default() }
+        if self.without.lacks(Mechanism::Fairness) { workspace } else { ids::Workspace::default() }
     }
 
     /// Charges tokens to a workspace and puts its lanes where they belong.
     pub(crate) fn charge(&mut self, class: ids::Class, workspace: ids::Workspace, tokens: i64) {
-        if tokens == 0 || !self.without.has(Mechanism::Fairness) {
+        if tokens == 0 || !self.without.lacks(Mechanism::Fairness) {
             return;
         }
         let class_weight = self.classes.get(class).map_or(1, |class| class.weight);
@@ -421,7 +421,7 @@
         let ticks = self.tick(now);
         self.expire(now);
         self.dispatch(now, actions);
-        if ticks && self.without.has(Mechanism::Stopping) {
+        if ticks && self.without.lacks(Mechanism::Preemption) {
             self.stop(now, actions);
             self.rescue(now, actions);
         }
--- a/components/policy/src/server.rs
+++ b/components/policy/src/server.rs
@@ -8,7 +8,7 @@
 
 use crate::health::Health;
 use crate::limit::Limit;
-use crate::mechanism::{Mechanism, Without};
+use crate::mechanism::{Disabled, Mechanism};
 use crate::ranks::Ranked;
 use crate::reading::Reading;
 use crate::terms::{Report, Server, Share};
@@ -88,19 +88,19 @@
     }
 
     /// Requests that this node may have there at once.
-    pub(crate) fn places(&self, without: Without) -> u32 {
+    pub(crate) fn places(&self, without: Disabled) -> u32 {
         let slots = self.slots();
-        let shared = self.share.filter(|_| without.has(Mechanism::Sharing));
+        let shared = self.share.filter(|_| without.lacks(Mechanism::SlotSharing));
         let places = shared.map_or(slots, |share| share.places.min(slots));
         self.limit_of(places, without)
     }
 
-    fn limit_of(&self, places: u32, without: Without) -> u32 {
-        if without.has(Mechanism::AdaptiveLimit) { self.limit.of(places) } else { places }
+    fn limit_of(&self, places: u32, without: Disabled) -> u32 {
+        if without.lacks(Mechanism::AdaptiveLimit) { self.limit.of(places) } else { places }
     }
 
     /// Whether this node may send it one more.
-    pub(crate) fn free(&self, without: Without) -> bool {
+    pub(crate) fn free(&self, without: Disabled) -> bool {
         self.sent < self.places(without)
     }
 
@@ -111,7 +111,7 @@
 
     /// Whether it seems to have a place, be it this node's or not, and this node holds no more than
     /// its part: one beyond it is all that a node adds to what an engine may be overrun by.
-    pub(crate) fn roomy(&self, now: Instant, without: Without) -> bool {
+    pub(crate) fn roomy(&self, now: Instant, without: Disabled) -> bool {
         self.sent <= self.places(without)
             && self.load(now, without) + 2.0 <= f64::from(self.limit_of(self.slots(), without))
     }
@@ -122,17 +122,17 @@
     }
 
     /// Rank of the highest tier that waits for it at a peer while it is full, as far as known.
-    pub(crate) fn awaited(&self, without: Without) -> Option<u8> {
-        let share = self.share.filter(|_| without.has(Mechanism::Sharing))?;
+    pub(crate) fn awaited(&self, without: Disabled) -> Option<u8> {
+        let share = self.share.filter(|_| without.lacks(Mechanism::SlotSharing))?;
         share.waiting.filter(|_| self.full())
     }
 
     /// Requests there now, as far as can be told.
-    pub(crate) fn load(&self, now: Instant, without: Without) -> f64 {
+    pub(crate) fn load(&self, now: Instant, without: Disabled) -> f64 {
         let own = f64::from(self.sent + self.share.map_or(0, |share| share.sent));
         let Some(report) = &self.report else { return own };
         let told = f64::from(report.running + report.queued);
-        if !without.has(Mechanism::Correction) {
+        if !without.lacks(Mechanism::LoadCorrection) {
             return told;
         }
         let age = now.saturating_duration_since(report.at).as_secs_f64();
--- a/components/policy/tests/common/prompts.rs
+++ b/components/policy/tests/common/prompts.rs
@@ -22,9 +22,9 @@
     let mut fixture = Fixture::new(1, count, slots, 1_000);
     // As a node before engines that queue by themselves: nothing is given up by its forecast.
     fixture.scheduler = std::mem::take(&mut fixture.scheduler)
-        .without(Mechanism::Fit)
+        .without(Mechanism::DeadlineFit)
         .without(Mechanism::EarlyRefusal)
-        .without(Mechanism::Stopping);
+        .without(Mechanism::Preemption);
     for (index, key) in fixture.servers.iter().enumerate() {
         let terms = Server { reads: Some(READS), ..server(index as u64 + 1, slots, fixture.model) };
         fixture.scheduler.set_server(*key, terms);
--- a/components/policy/tests/isolation.rs
+++ b/components/policy/tests/isolation.rs
@@ -94,6 +94,6 @@
 /// The same without isolation groups, so that the test above can't pass for want of prompts.
 #[test]
 fn without_groups_streams_are_disturbed() {
-    let part = disturbed(Some(Mechanism::Groups));
+    let part = disturbed(Some(Mechanism::IsolationGroups));
     assert!(part > 0.05, "{part:.3}");
 }
--- a/components/policy/tests/places.rs
+++ b/components/policy/tests/places.rs
@@ -70,7 +70,7 @@
 /// want of a burst.
 #[test]
 fn without_counting_places_callers_of_the_burst_go_away() {
-    let played = burst(Some(Mechanism::Places));
+    let played = burst(Some(Mechanism::SlotCounts));
     let streams = || played.iter().map(|(streams, _)| streams);
     let sent: u32 = streams().map(|count| count.sent).sum();
     let given_up: u32 = streams().map(|count| count.given_up).sum();
