--- a/components/forward/src/gossip/limits.rs
+++ b/components/forward/src/gossip/limits.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, Instant};
 
 use clock::Clock;
-use policy::Named;
+use policy::RateLimit;
 use wire::gossip::{Limit, Position, Report, Summary};
 
 use super::cursor::Cursor;
@@ -16,7 +16,7 @@
 
 /// Adds to a report what the seed may not know, and asks for the rest.
 pub(super) fn report<S: Site>(state: &State<S>, cursor: &mut Cursor, report: Report) -> Report {
-    let (named, version) = state.limits.throttle.borrow().since(cursor.reported());
+    let (named, version) = state.limits.throttle.borrow().changes_since(cursor.reported());
     cursor.report(version);
     let limits = to_wire(&named, state.clock.now());
     Report { limits, limits_known: cursor.received(), ..report }
@@ -48,13 +48,13 @@
     let now = state.clock.now();
     limits::learn(state, reported.iter().filter_map(|limit| from_wire(limit, now)));
     let known = at.filter(|at| at.boot == summary.at.boot).map_or(0, |_| known);
-    let (named, limits_at) = state.limits.throttle.borrow().since(known);
+    let (named, limits_at) = state.limits.throttle.borrow().changes_since(known);
     Summary { limits: to_wire(&named, now), limits_at, permits, ..summary }
 }
 
 /// Limits as they go to other nodes: their clocks differ, so times are ages.
-fn to_wire(named: &[Named], now: Instant) -> Vec<Limit> {
-    let limit = |named: &Named| {
+fn to_wire(named: &[RateLimit], now: Instant) -> Vec<Limit> {
+    let limit = |named: &RateLimit| {
         let age = now.saturating_duration_since(named.at).as_millis();
         Limit {
             server: named.server,
@@ -66,8 +66,8 @@
 }
 
 /// A limit that another node received; none if it is older than this node's clock can tell.
-fn from_wire(limit: &Limit, now: Instant) -> Option<Named> {
+fn from_wire(limit: &Limit, now: Instant) -> Option<RateLimit> {
     let at = now.checked_sub(Duration::from_millis(limit.age_ms.into()))?;
     let rate = limit.rate.map(|rate| f64::from(rate) / RATE_SECONDS);
-    Some(Named { server: limit.server, rate, at })
+    Some(RateLimit { server: limit.server, rate, at })
 }
--- a/components/forward/src/gossip/suspects.rs
+++ b/components/forward/src/gossip/suspects.rs
@@ -20,7 +20,7 @@
 /// Adds to a report what the seed may not know, and asks for the rest.
 pub(super) fn report<S: Site>(state: &State<S>, cursor: &mut Cursor, report: Report) -> Report {
     let (now, quarantine) = (state.clock.now(), state.crashes.quarantine.borrow());
-    let (evidence, version) = quarantine.since(cursor.reported(), 1);
+    let (evidence, version) = quarantine.changes_since(cursor.reported(), 1);
     cursor.report(version);
     let suspects = evidence.iter().map(|evidence| to_wire(evidence, now)).collect();
     Report { suspects, suspects_known: cursor.received(), ..report }
@@ -48,7 +48,7 @@
     learn(&mut quarantine, suspects, now);
     let known = at.filter(|at| at.boot == summary.at.boot).map_or(0, |_| known);
     let least = if from_seed { 1 } else { NODE_THRESHOLD };
-    let (evidence, suspects_at) = quarantine.since(known, least);
+    let (evidence, suspects_at) = quarantine.changes_since(known, least);
     let suspects = evidence.iter().map(|evidence| to_wire(evidence, now)).collect();
     Summary { suspects, suspects_at, ..summary }
 }
@@ -56,7 +56,7 @@
 fn learn(quarantine: &mut Quarantine, suspects: &[Suspect], now: Instant) {
     for suspect in suspects {
         if let Some(evidence) = from_wire(suspect, now) {
-            quarantine.learn(evidence, now);
+            quarantine.merge(evidence, now);
         }
     }
 }
@@ -68,7 +68,7 @@
         u32::try_from(age).unwrap_or(u32::MAX)
     };
     let crash = |crash: &Crash| gossip::Crash {
-        server: crash.server,
+        server: crash.instance,
         sent_ms: age(crash.sent),
         crashed_ms: age(crash.at),
     };
@@ -84,7 +84,7 @@
     let at = |ms: u32| now.checked_sub(Duration::from_millis(ms.into()));
     let crash = |crash: &gossip::Crash| {
         let (sent, at) = (at(crash.sent_ms)?, at(crash.crashed_ms)?);
-        Some(Crash { server: crash.server, sent, at })
+        Some(Crash { instance: crash.server, sent, at })
     };
     let crashes = suspect.crashes.iter().map(crash).collect::<Option<_>>()?;
     let completed = suspect.completed_ms.and_then(at);
--- a/components/forward/src/limits.rs
+++ b/components/forward/src/limits.rs
@@ -7,7 +7,7 @@
 
 use catalog::Entry;
 use clock::Clock;
-use policy::{Issuer, Named, Throttle};
+use policy::{Issuer, RateLimit, Throttle};
 
 use crate::mechanism::Mechanism;
 use crate::site::{Limit, Site};
@@ -54,7 +54,7 @@
             return;
         }
     };
-    state.limits.throttle.borrow_mut().answered(key, rate, sent, now);
+    state.limits.throttle.borrow_mut().record_response(key, rate, sent, now);
     let after = state.limits.throttle.borrow().rate(key);
     if before.is_some() != after.is_some() {
         log::info!(server = server.name.as_str(), rate_per_s = after; "server's rate limit");
@@ -63,10 +63,10 @@
 }
 
 /// Takes in what other nodes know of servers that are listed.
-pub(crate) fn learn<S: Site>(state: &State<S>, named: impl Iterator<Item = Named>) {
+pub(crate) fn learn<S: Site>(state: &State<S>, named: impl Iterator<Item = RateLimit>) {
     let before = state.limits.throttle.borrow().version();
     for named in named.filter(|named| state.names.borrow().keyed(named.server).is_some()) {
-        state.limits.throttle.borrow_mut().learn(named);
+        state.limits.throttle.borrow_mut().merge(named);
     }
     if state.limits.throttle.borrow().version() > before {
         apply(state);
--- a/components/forward/src/operators.rs
+++ b/components/forward/src/operators.rs
@@ -49,7 +49,7 @@
         "revision": state.book.borrow().as_ref().map(|book| book.revision),
         "age_ms": state.age_ms(),
         "held": state.held(),
-        "quarantined": state.crashes.quarantine.borrow().count(now),
+        "quarantined": state.crashes.quarantine.borrow().blocked_count(now),
         "without": state.node().without,
         "waiting": scheduler.waiting(),
         "servers": servers.collect::<Vec<_>>(),
--- a/components/policy/src/lib.rs
+++ b/components/policy/src/lib.rs
@@ -49,4 +49,4 @@
 pub use terms::{
     Backlog, Cached, Class, Demand, Fetch, Limits, Part, Report, Request, Server, Share, Workspace,
 };
-pub use throttle::{Issuer, Named, Throttle};
+pub use throttle::{Issuer, RateLimit, Throttle};
--- a/components/policy/src/quarantine.rs
+++ b/components/policy/src/quarantine.rs
@@ -42,7 +42,7 @@
     #[derive(Copy, Eq)]
     pub struct Crash {
         /// Key of this start of the server, the same at all nodes.
-        pub server: u32,
+        pub instance: u32,
         /// When the request was sent to it.
         pub sent: Instant,
         /// When it crashed.
@@ -112,7 +112,7 @@
 
     /// Adds a crash; returns whether it was new.
     fn add(&mut self, crash: Crash) -> bool {
-        if self.crashes.iter().any(|known| known.server == crash.server) {
+        if self.crashes.iter().any(|known| known.instance == crash.instance) {
             return false;
         }
         let place = self.crashes.partition_point(|known| known.at <= crash.at);
@@ -146,7 +146,7 @@
     ///
     /// ```
     /// let quarantine = policy::Quarantine::new(7);
-    /// assert_eq!(quarantine.held(1, std::time::Instant::now()), None);
+    /// assert_eq!(quarantine.blocked_for(1, std::time::Instant::now()), None);
     /// ```
     pub fn new(seed: u64) -> Self {
         Quarantine { suspects: HashMap::new(), version: 0, seed, swept: None }
@@ -161,24 +161,24 @@
     ///
     /// let (mut quarantine, start) = (Quarantine::new(7), Instant::now());
     /// for server in 0..3 {
-    ///     assert_eq!(quarantine.held(1, start), None);
+    ///     assert_eq!(quarantine.blocked_for(1, start), None);
     ///     let at = start + Duration::from_secs(server.into());
-    ///     quarantine.crashed(1, Crash { server, sent: start, at }, at);
+    ///     quarantine.record_crash(1, Crash { instance: server, sent: start, at }, at);
     /// }
-    /// assert!(quarantine.held(1, start + Duration::from_secs(3)).is_some());
+    /// assert!(quarantine.blocked_for(1, start + Duration::from_secs(3)).is_some());
     /// ```
-    pub fn crashed(&mut self, content: u64, crash: Crash, now: Instant) {
-        self.learn(Evidence { content, crashes: vec![crash], completed: None }, now);
+    pub fn record_crash(&mut self, content: u64, crash: Crash, now: Instant) {
+        self.merge(Evidence { content, crashes: vec![crash], completed: None }, now);
     }
 
     /// Takes in that a request got a whole answer, be it good or bad: its server outlived it.
     ///
     /// ```
     /// let mut quarantine = policy::Quarantine::new(7);
-    /// quarantine.completed(1, std::time::Instant::now());
+    /// quarantine.record_completion(1, std::time::Instant::now());
     /// assert_eq!(quarantine.version(), 0, "nothing was suspected");
     /// ```
-    pub fn completed(&mut self, content: u64, now: Instant) {
+    pub fn record_completion(&mut self, content: u64, now: Instant) {
         let Some(suspect) = self.suspects.get_mut(&content) else { return };
         suspect.tried = None;
         if suspect.complete(now) {
@@ -188,7 +188,7 @@
     }
 
     /// How long a request is held back from now; none if it isn't.
-    pub fn held(&self, content: u64, now: Instant) -> Option<Duration> {
+    pub fn blocked_for(&self, content: u64, now: Instant) -> Option<Duration> {
         let suspect = self.suspects.get(&content)?;
         let until = suspect.until(self.draw(content))?;
         let trial = suspect.tried.map(|tried| tried + TRIAL);
@@ -204,10 +204,10 @@
     ///
     /// ```
     /// let mut quarantine = policy::Quarantine::new(7);
-    /// assert_eq!(quarantine.pass(1, std::time::Instant::now()), Ok(()));
+    /// assert_eq!(quarantine.begin_attempt(1, std::time::Instant::now()), Ok(()));
     /// ```
-    pub fn pass(&mut self, content: u64, now: Instant) -> Result<(), Duration> {
-        if let Some(left) = self.held(content, now) {
+    pub fn begin_attempt(&mut self, content: u64, now: Instant) -> Result<(), Duration> {
+        if let Some(left) = self.blocked_for(content, now) {
             return Err(left);
         }
         if let Some(suspect) = self.suspects.get_mut(&content)
@@ -221,13 +221,13 @@
     /// Number of requests that are held back.
     ///
     /// ```
-    /// assert_eq!(policy::Quarantine::new(7).count(std::time::Instant::now()), 0);
+    /// assert_eq!(policy::Quarantine::new(7).blocked_count(std::time::Instant::now()), 0);
     /// ```
-    pub fn count(&self, now: Instant) -> usize {
-        self.suspects.keys().filter(|content| self.held(**content, now).is_some()).count()
+    pub fn blocked_count(&self, now: Instant) -> usize {
+        self.suspects.keys().filter(|content| self.blocked_for(**content, now).is_some()).count()
     }
 
-    /// Position up to which [`Quarantine::since`] tells.
+    /// Position up to which [`Quarantine::changes_since`] tells.
     pub fn version(&self) -> u64 {
         self.version
     }
@@ -237,9 +237,9 @@
     ///
     /// ```
     /// let quarantine = policy::Quarantine::new(7);
-    /// assert_eq!(quarantine.since(0, 1), (vec![], 0));
+    /// assert_eq!(quarantine.changes_since(0, 1), (vec![], 0));
     /// ```
-    pub fn since(&self, version: u64, least: usize) -> (Vec<Evidence>, u64) {
+    pub fn changes_since(&self, version: u64, least: usize) -> (Vec<Evidence>, u64) {
         if version >= self.version {
             return (vec![], self.version);
         }
@@ -265,12 +265,12 @@
     /// use policy::{Crash, Evidence, Quarantine};
     ///
     /// let (mut quarantine, now) = (Quarantine::new(7), Instant::now());
-    /// let crashes = vec![Crash { server: 3, sent: now, at: now }];
+    /// let crashes = vec![Crash { instance: 3, sent: now, at: now }];
     /// let evidence = Evidence { content: 1, crashes, completed: None };
-    /// quarantine.learn(evidence.clone(), now);
-    /// assert_eq!(quarantine.since(0, 1).0, [evidence]);
+    /// quarantine.merge(evidence.clone(), now);
+    /// assert_eq!(quarantine.changes_since(0, 1).0, [evidence]);
     /// ```
-    pub fn learn(&mut self, evidence: Evidence, now: Instant) {
+    pub fn merge(&mut self, evidence: Evidence, now: Instant) {
         let Evidence { content, crashes, completed } = evidence;
         let recent = crashes.iter().filter(|crash| now < crash.at + HOLD + KEPT);
         let recent: Vec<_> = recent.copied().collect();
--- a/components/policy/src/quarantine/tests.rs
+++ b/components/policy/src/quarantine/tests.rs
@@ -7,7 +7,7 @@
 
 /// A crash at a time, of a server that the request had been at for a while.
 fn crash(server: u32, at: Instant) -> Crash {
-    Crash { server, sent: at - SECOND, at }
+    Crash { instance: server, sent: at - SECOND, at }
 }
 
 /// A request under which so many servers crashed, a second after each other, and the time of the last.
@@ -15,7 +15,7 @@
     let (mut quarantine, mut now) = (Quarantine::new(1), Instant::now());
     for server in 0..crashes {
         now += SECOND;
-        quarantine.crashed(CONTENT, crash(server, now), now);
+        quarantine.record_crash(CONTENT, crash(server, now), now);
     }
     (quarantine, now)
 }
@@ -27,24 +27,24 @@
     for server in 0..3 {
         let sent = start + MOMENT * server / 3;
         let at = sent + MOMENT / 4;
-        quarantine.crashed(CONTENT, Crash { server, sent, at }, at);
+        quarantine.record_crash(CONTENT, Crash { instance: server, sent, at }, at);
     }
-    assert!(quarantine.held(CONTENT, start + SECOND).is_some());
+    assert!(quarantine.blocked_for(CONTENT, start + SECOND).is_some());
 }
 
 /// Guards against a request that is held back for nothing.
 #[test]
 fn two_crashes_hold_nothing_back() {
     let (quarantine, now) = suspected(2);
-    assert_eq!(quarantine.held(CONTENT, now), None);
+    assert_eq!(quarantine.blocked_for(CONTENT, now), None);
 }
 
 #[test]
 fn a_third_crash_holds_a_request_back_and_no_other() {
     let (quarantine, now) = suspected(3);
-    assert!(quarantine.held(CONTENT, now) >= Some(HOLD));
-    assert_eq!(quarantine.held(CONTENT + 1, now), None);
-    assert_eq!(quarantine.count(now), 1);
+    assert!(quarantine.blocked_for(CONTENT, now) >= Some(HOLD));
+    assert_eq!(quarantine.blocked_for(CONTENT + 1, now), None);
+    assert_eq!(quarantine.blocked_count(now), 1);
 }
 
 /// Guards against one crash that is reported by several nodes counting several times.
@@ -53,9 +53,9 @@
     let (mut quarantine, now) = suspected(1);
     for millis in [0, 500, 2_000] {
         let at = now + Duration::from_millis(millis);
-        quarantine.crashed(CONTENT, crash(0, at), at);
+        quarantine.record_crash(CONTENT, crash(0, at), at);
     }
-    assert_eq!(quarantine.held(CONTENT, now + SECOND * 3), None);
+    assert_eq!(quarantine.blocked_for(CONTENT, now + SECOND * 3), None);
 }
 
 /// Guards against a loss of many servers at once bringing what ran on them under suspicion.
@@ -64,9 +64,9 @@
     let (mut quarantine, start) = (Quarantine::new(1), Instant::now());
     for server in 0..200 {
         let at = start + MOMENT * (server % 5) / 5;
-        quarantine.crashed(CONTENT, crash(server, at), at);
+        quarantine.record_crash(CONTENT, crash(server, at), at);
     }
-    assert_eq!(quarantine.held(CONTENT, start + SECOND), None);
+    assert_eq!(quarantine.blocked_for(CONTENT, start + SECOND), None);
 }
 
 /// Guards against crashes in a row, each soon after the last, counting as one.
@@ -75,55 +75,55 @@
     let (mut quarantine, start) = (Quarantine::new(1), Instant::now());
     for server in 0..5 {
         let at = start + MOMENT * server * 3 / 4;
-        quarantine.crashed(CONTENT, crash(server, at), at);
+        quarantine.record_crash(CONTENT, crash(server, at), at);
     }
-    assert!(quarantine.held(CONTENT, start + SECOND).is_some());
+    assert!(quarantine.blocked_for(CONTENT, start + SECOND).is_some());
 }
 
 /// Guards against a request that servers do answer being held back for crashes that it didn't cause.
 #[test]
 fn a_whole_answer_voids_what_came_before() {
     let (mut quarantine, now) = suspected(3);
-    quarantine.completed(CONTENT, now);
-    assert_eq!(quarantine.held(CONTENT, now), None);
+    quarantine.record_completion(CONTENT, now);
+    assert_eq!(quarantine.blocked_for(CONTENT, now), None);
     for server in 10..12 {
         let at = now + SECOND * server;
-        quarantine.crashed(CONTENT, crash(server, at), at);
+        quarantine.record_crash(CONTENT, crash(server, at), at);
     }
-    assert_eq!(quarantine.held(CONTENT, now + SECOND * 12), None);
+    assert_eq!(quarantine.blocked_for(CONTENT, now + SECOND * 12), None);
 }
 
 /// Guards against a request that is never tried again, and against a rush of tries when its hold ends.
 #[test]
 fn one_try_follows_a_hold() {
     let (mut quarantine, now) = suspected(3);
-    let left = quarantine.held(CONTENT, now).expect("it is held back");
+    let left = quarantine.blocked_for(CONTENT, now).expect("it is held back");
     let after = now + left;
-    assert_eq!(quarantine.pass(CONTENT, after), Ok(()));
-    assert_eq!(quarantine.pass(CONTENT, after), Err(TRIAL), "others wait for it");
-    quarantine.completed(CONTENT, after + SECOND);
-    assert_eq!(quarantine.pass(CONTENT, after + SECOND), Ok(()));
+    assert_eq!(quarantine.begin_attempt(CONTENT, after), Ok(()));
+    assert_eq!(quarantine.begin_attempt(CONTENT, after), Err(TRIAL), "others wait for it");
+    quarantine.record_completion(CONTENT, after + SECOND);
+    assert_eq!(quarantine.begin_attempt(CONTENT, after + SECOND), Ok(()));
 }
 
 #[test]
 fn a_crash_after_a_hold_makes_the_next_longer() {
     let (mut quarantine, now) = suspected(3);
-    let after = now + quarantine.held(CONTENT, now).expect("it is held back");
-    assert_eq!(quarantine.pass(CONTENT, after), Ok(()));
-    quarantine.crashed(CONTENT, crash(9, after), after);
-    assert!(quarantine.held(CONTENT, after) >= Some(HOLD * 4));
+    let after = now + quarantine.blocked_for(CONTENT, now).expect("it is held back");
+    assert_eq!(quarantine.begin_attempt(CONTENT, after), Ok(()));
+    quarantine.record_crash(CONTENT, crash(9, after), after);
+    assert!(quarantine.blocked_for(CONTENT, after) >= Some(HOLD * 4));
 }
 
 /// Guards against all nodes trying a request again together.
 #[test]
 fn nodes_end_their_holds_at_different_times() {
     let (known, now) = suspected(3);
-    let (evidence, _) = known.since(0, 1);
+    let (evidence, _) = known.changes_since(0, 1);
     let mut ends: Vec<_> = (0..50)
         .map(|seed| {
             let mut quarantine = Quarantine::new(seed);
-            quarantine.learn(evidence[0].clone(), now);
-            quarantine.held(CONTENT, now).expect("it is held back")
+            quarantine.merge(evidence[0].clone(), now);
+            quarantine.blocked_for(CONTENT, now).expect("it is held back")
         })
         .collect();
     ends.sort();
@@ -136,9 +136,9 @@
 fn old_evidence_is_forgotten() {
     let (mut quarantine, now) = suspected(2);
     let later = now + KEPT + HOLD;
-    quarantine.crashed(CONTENT, crash(9, later), later);
-    assert_eq!(quarantine.held(CONTENT, later), None);
-    assert_eq!(quarantine.since(0, 2).0, []);
+    quarantine.record_crash(CONTENT, crash(9, later), later);
+    assert_eq!(quarantine.blocked_for(CONTENT, later), None);
+    assert_eq!(quarantine.changes_since(0, 2).0, []);
 }
 
 /// Guards against memory that grows with the number of requests that meet a crash.
@@ -147,8 +147,8 @@
     let (mut quarantine, now) = suspected(3);
     for content in 0..10_000 {
         let at = now + Duration::from_millis(content);
-        quarantine.crashed(1_000 + content, crash(9, at), at);
+        quarantine.record_crash(1_000 + content, crash(9, at), at);
     }
-    assert!(quarantine.held(CONTENT, now + SECOND * 10).is_some());
+    assert!(quarantine.blocked_for(CONTENT, now + SECOND * 10).is_some());
     assert!(quarantine.suspects.len() <= SUSPECTS);
 }
--- a/components/policy/src/server.rs
+++ b/components/policy/src/server.rs
@@ -106,7 +106,7 @@
 
     /// Whether its rate limit leaves room for one more, if it has named one.
     pub(crate) fn permitted(&self, now: Instant) -> bool {
-        self.permits.as_ref().is_none_or(|permits| permits.any(now))
+        self.permits.as_ref().is_none_or(|permits| permits.available(now))
     }
 
     /// Whether it seems to have a place, be it this node's or not, and this node holds no more than
--- a/components/policy/src/throttle.rs
+++ b/components/policy/src/throttle.rs
@@ -25,7 +25,7 @@
 derives::data! {
     /// What a server last said of its limit.
     #[derive(Copy)]
-    pub struct Named {
+    pub struct RateLimit {
         /// Key of the server's name.
         pub server: u32,
         /// Requests a second that it takes from all nodes; none if it no longer names a limit.
@@ -38,7 +38,7 @@
 /// Limits that servers have named, with the version at which each last changed.
 #[derive(Debug, Default)]
 pub struct Throttle {
-    named: HashMap<u32, (Named, u64)>,
+    named: HashMap<u32, (RateLimit, u64)>,
     version: u64,
 }
 
@@ -51,23 +51,23 @@
     ///
     /// let (mut throttle, start) = (policy::Throttle::default(), Instant::now());
     /// let second = Duration::from_secs(1);
-    /// throttle.answered(7, Some(2.5), start, start + second);
+    /// throttle.record_response(7, Some(2.5), start, start + second);
     /// assert_eq!(throttle.rate(7), Some(2.5));
-    /// throttle.answered(7, None, start, start + second * 2);
+    /// throttle.record_response(7, None, start, start + second * 2);
     /// assert_eq!(throttle.rate(7), Some(2.5), "it was sent before the limit was received");
-    /// throttle.answered(7, None, start + second * 2, start + second * 3);
+    /// throttle.record_response(7, None, start + second * 2, start + second * 3);
     /// assert_eq!(throttle.rate(7), None);
     /// ```
-    pub fn answered(&mut self, server: u32, rate: Option<f64>, sent: Instant, now: Instant) {
+    pub fn record_response(&mut self, server: u32, rate: Option<f64>, sent: Instant, now: Instant) {
         let known = self.named.get(&server).map(|(named, _)| named);
         let ends = known.is_some_and(|known| known.rate.is_some() && sent > known.at);
         if rate.is_some() || ends {
-            self.learn(Named { server, rate, at: now });
+            self.merge(RateLimit { server, rate, at: now });
         }
     }
 
     /// Takes in what another node received.
-    pub fn learn(&mut self, news: Named) {
+    pub fn merge(&mut self, news: RateLimit) {
         let Some((known, version)) = self.named.get_mut(&news.server) else {
             self.version += 1;
             self.named.insert(news.server, (news, self.version));
@@ -98,7 +98,7 @@
         self.named.get(&server)?.0.rate
     }
 
-    /// Position up to which [`Throttle::since`] tells.
+    /// Position up to which [`Throttle::changes_since`] tells.
     pub fn version(&self) -> u64 {
         self.version
     }
@@ -108,7 +108,7 @@
     /// ```
     /// assert_eq!(policy::Throttle::default().all().count(), 0);
     /// ```
-    pub fn all(&self) -> impl Iterator<Item = Named> {
+    pub fn all(&self) -> impl Iterator<Item = RateLimit> {
         self.named.values().map(|(named, _)| *named)
     }
 
@@ -117,11 +117,11 @@
     /// ```
     /// let now = std::time::Instant::now();
     /// let mut throttle = policy::Throttle::default();
-    /// throttle.learn(policy::Named { server: 7, rate: Some(2.5), at: now });
-    /// assert_eq!(throttle.since(0).0.len(), 1);
-    /// assert_eq!(throttle.since(1), (vec![], 1));
+    /// throttle.merge(policy::RateLimit { server: 7, rate: Some(2.5), at: now });
+    /// assert_eq!(throttle.changes_since(0).0.len(), 1);
+    /// assert_eq!(throttle.changes_since(1), (vec![], 1));
     /// ```
-    pub fn since(&self, version: u64) -> (Vec<Named>, u64) {
+    pub fn changes_since(&self, version: u64) -> (Vec<RateLimit>, u64) {
         let changed = self.named.values().filter(|(_, changed)| *changed > version);
         (changed.map(|(named, _)| *named).collect(), self.version)
     }
@@ -148,14 +148,14 @@
     /// use std::time::{Duration, Instant};
     ///
     /// let (mut issuer, start) = (policy::Issuer::default(), Instant::now());
-    /// let named = policy::Named { server: 7, rate: Some(3.0), at: start };
+    /// let named = policy::RateLimit { server: 7, rate: Some(3.0), at: start };
     /// assert_eq!(issuer.issue([named].into_iter(), 3.0, 2, start), []);
     /// let later = start + Duration::from_secs(1);
     /// assert_eq!(issuer.issue([named].into_iter(), 3.0, 2, later), [(7, 1)]);
     /// ```
     pub fn issue(
         &mut self,
-        limits: impl Iterator<Item = Named>,
+        limits: impl Iterator<Item = RateLimit>,
         issuers: f64,
         nodes: usize,
         now: Instant,
@@ -193,7 +193,7 @@
     }
 
     /// Whether there is one.
-    pub(crate) fn any(&self, now: Instant) -> bool {
+    pub(crate) fn available(&self, now: Instant) -> bool {
         self.held.iter().any(|(count, until)| *count > 0 && now < *until)
     }
 
--- a/components/policy/src/throttle/tests.rs
+++ b/components/policy/src/throttle/tests.rs
@@ -1,13 +1,13 @@
 use std::time::{Duration, Instant};
 
-use super::{GOOD, Issuer, Named, Permits, Throttle};
+use super::{GOOD, Issuer, Permits, RateLimit, Throttle};
 
 const SERVER: u32 = 7;
 const SECOND: Duration = Duration::from_secs(1);
 const STEP: Duration = Duration::from_millis(20);
 
-fn named(rate: f64, at: Instant) -> Named {
-    Named { server: SERVER, rate: Some(rate), at }
+fn named(rate: f64, at: Instant) -> RateLimit {
+    RateLimit { server: SERVER, rate: Some(rate), at }
 }
 
 /// Permits that an issuer hands to nodes which come in turn, in so many seconds.
@@ -62,30 +62,30 @@
     let (mut permits, now) = (Permits::default(), Instant::now());
     permits.add(2, now);
     permits.take(now);
-    assert!(permits.any(now));
+    assert!(permits.available(now));
     permits.take(now);
-    assert!(!permits.any(now));
+    assert!(!permits.available(now));
     permits.add(1, now);
-    assert!(!permits.any(now + GOOD));
+    assert!(!permits.available(now + GOOD));
 }
 
 /// Guards against nodes that tell each other the same limit for ever, each a little later.
 #[test]
 fn hearing_the_same_again_is_no_news() {
     let (mut throttle, now) = (Throttle::default(), Instant::now());
-    throttle.learn(named(2.5, now));
-    let (_, version) = throttle.since(0);
-    throttle.learn(named(2.51, now + SECOND));
-    assert_eq!(throttle.since(version).0, []);
-    throttle.learn(named(5.0, now + SECOND * 2));
-    assert_eq!(throttle.since(version).0.len(), 1);
+    throttle.merge(named(2.5, now));
+    let (_, version) = throttle.changes_since(0);
+    throttle.merge(named(2.51, now + SECOND));
+    assert_eq!(throttle.changes_since(version).0, []);
+    throttle.merge(named(5.0, now + SECOND * 2));
+    assert_eq!(throttle.changes_since(version).0.len(), 1);
 }
 
 /// Guards against an old word of a limit that undoes a newer one.
 #[test]
 fn the_newest_word_of_a_server_holds() {
     let (mut throttle, now) = (Throttle::default(), Instant::now());
-    throttle.learn(Named { server: SERVER, rate: None, at: now + SECOND });
-    throttle.learn(named(2.5, now));
+    throttle.merge(RateLimit { server: SERVER, rate: None, at: now + SECOND });
+    throttle.merge(named(2.5, now));
     assert_eq!(throttle.rate(SERVER), None);
 }
--- a/components/policy/tests/quarantine.rs
+++ b/components/policy/tests/quarantine.rs
@@ -32,22 +32,22 @@
 /// One node tells a seed, which answers; the message or its answer may be lost. Returns what was told.
 fn exchange(fleet: &mut [Node], from: usize, to: usize, lost: (bool, bool), now: Instant) -> usize {
     let least = if from < SEEDS { 1 } else { 2 };
-    let (told, version) = fleet[from].quarantine.since(fleet[from].told[to], 1);
+    let (told, version) = fleet[from].quarantine.changes_since(fleet[from].told[to], 1);
     let mut messages = told.len();
     if lost.0 {
         return messages;
     }
     for evidence in told {
-        fleet[to].quarantine.learn(evidence, now);
+        fleet[to].quarantine.merge(evidence, now);
     }
-    let (answer, heard) = fleet[to].quarantine.since(fleet[from].heard[to], least);
+    let (answer, heard) = fleet[to].quarantine.changes_since(fleet[from].heard[to], least);
     messages += answer.len();
     if lost.1 {
         return messages;
     }
     (fleet[from].told[to], fleet[from].heard[to]) = (version, heard);
     for evidence in answer {
-        fleet[from].quarantine.learn(evidence, now);
+        fleet[from].quarantine.merge(evidence, now);
     }
     messages
 }
@@ -85,7 +85,7 @@
         let (mut fleet, mut now) = (fleet(), Instant::now());
         for (server, observer) in observers.into_iter().enumerate() {
             now += PAUSE;
-            fleet[observer].quarantine.crashed(1, Crash { server: server as u32, sent: now, at: now }, now);
+            fleet[observer].quarantine.record_crash(1, Crash { instance: server as u32, sent: now, at: now }, now);
         }
         for lost in &losses {
             now += PAUSE;
@@ -96,7 +96,7 @@
             round(&mut fleet, &BTreeSet::new(), now);
         }
         for node in &fleet {
-            prop_assert!(node.quarantine.held(1, now).is_some());
+            prop_assert!(node.quarantine.blocked_for(1, now).is_some());
         }
     }
 
@@ -109,12 +109,12 @@
         let (mut fleet, mut now) = (fleet(), Instant::now());
         for (observer, content, server) in crashes {
             now += PAUSE;
-            fleet[observer].quarantine.crashed(content, Crash { server, sent: now, at: now }, now);
+            fleet[observer].quarantine.record_crash(content, Crash { instance: server, sent: now, at: now }, now);
             round(&mut fleet, &BTreeSet::new(), now);
         }
         for (observer, content) in answers {
             now += PAUSE;
-            fleet[observer].quarantine.completed(content, now);
+            fleet[observer].quarantine.record_completion(content, now);
             round(&mut fleet, &BTreeSet::new(), now);
         }
         for _ in 0..4 {
@@ -138,8 +138,8 @@
                 // A request comes with one kill and is tried again at the next.
                 let content = (kill as u64 / 2) * requests + request;
                 let server = kill as u32 * 100 + request as u32 % servers;
-                quarantine.crashed(content, Crash { server, sent: now, at: now }, now);
-                prop_assert!(quarantine.held(content, now).is_none());
+                quarantine.record_crash(content, Crash { instance: server, sent: now, at: now }, now);
+                prop_assert!(quarantine.blocked_for(content, now).is_none());
             }
         }
     }
--- a/components/policy/tests/throttle.rs
+++ b/components/policy/tests/throttle.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use common::Fixture;
-use policy::{Action, Issuer, Named, Policy};
+use policy::{Action, Issuer, Policy, RateLimit};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
@@ -78,7 +78,7 @@
         calls in prop::collection::vec((0_usize..3, 0_u64..60, 0_u32..100), 100..400),
     ) {
         let start = Instant::now();
-        let named = Named { server: 1, rate: Some(rate), at: start };
+        let named = RateLimit { server: 1, rate: Some(rate), at: start };
         let mut issuers: Vec<_> = (0..seeds).map(|_| Issuer::default()).collect();
         let (mut now, mut grants) = (start, vec![]);
         for (seed, pause, luck) in calls {
--- a/components/turns/src/crashes.rs
+++ b/components/turns/src/crashes.rs
@@ -82,9 +82,9 @@
         let server_key = server.start.unwrap_or_else(rand::random);
         let (mut quarantine, now) = (self.quarantine.borrow_mut(), self.clock.now());
         for Lost { content, sent, at } in lost.iter().copied() {
-            let before = quarantine.held(content, now);
-            quarantine.crashed(content, Crash { server: server_key, sent, at }, now);
-            if let (None, Some(held)) = (before, quarantine.held(content, now)) {
+            let before = quarantine.blocked_for(content, now);
+            quarantine.record_crash(content, Crash { instance: server_key, sent, at }, now);
+            if let (None, Some(held)) = (before, quarantine.blocked_for(content, now)) {
                 let (content, held_ms) = (format!("{content:016x}"), held.as_millis() as u64);
                 log::warn!(
                     content = content.as_str(), held_ms = held_ms;
@@ -97,7 +97,7 @@
 
     /// Takes in that a request got a whole answer, good or bad.
     pub fn completed(&self, content: u64) {
-        self.quarantine.borrow_mut().completed(content, self.clock.now());
+        self.quarantine.borrow_mut().record_completion(content, self.clock.now());
     }
 
     /// Whether a request may wait for a server.
@@ -105,7 +105,7 @@
     /// # Errors
     /// When it is held back.
     pub fn admit(&self, content: u64) -> Result<(), Refused> {
-        match self.quarantine.borrow().held(content, self.clock.now()) {
+        match self.quarantine.borrow().blocked_for(content, self.clock.now()) {
             Some(again) => Err(Refused { refusal: Refusal::Quarantined, again }),
             None => Ok(()),
         }
@@ -116,7 +116,7 @@
     /// # Errors
     /// When it is held back.
     pub fn pass(&self, content: u64) -> Result<(), Refused> {
-        let passed = self.quarantine.borrow_mut().pass(content, self.clock.now());
+        let passed = self.quarantine.borrow_mut().begin_attempt(content, self.clock.now());
         passed.map_err(|again| Refused { refusal: Refusal::Quarantined, again })
     }
 }
