--- a/components/forward/src/state.rs
+++ b/components/forward/src/state.rs
@@ -18,7 +18,7 @@
 use crate::crossing::Crossing;
 use crate::gossip::Gossip;
 use crate::limits::{self, Limits};
-use crate::mechanism::{Mechanism as Own, Without};
+use crate::mechanism::{Disabled, Mechanism as Own};
 use crate::names::Names;
 use crate::node::Node;
 use crate::replica::Replica;
@@ -57,7 +57,7 @@
 pub(crate) struct State<S: Site> {
     node: RefCell<Rc<Node>>,
     /// Mechanisms that this node leaves out, as its settings said at its start.
-    pub(crate) without: Without,
+    pub(crate) without: Disabled,
     pub(crate) clock: clock::Runtime,
     pub(crate) site: Dialects<S>,
     pub(crate) turns: Rc<Turns>,
@@ -114,9 +114,9 @@
         let clock = clock::Runtime::new();
         let seed = xxhash_rust::xxh3::xxh3_64(node.name.as_bytes());
         let mut scheduler = Scheduler::with_seed(seed)
-            .with_disabled(Mechanism::Fit)
+            .with_disabled(Mechanism::DeadlineFit)
             .with_disabled(Mechanism::EarlyRefusal)
-            .with_disabled(Mechanism::Stopping);
+            .with_disabled(Mechanism::Preemption);
         scheduler.set_limits(limits(&node));
         let without = node.left_out();
         for mechanism in &without.decisions {
--- a/components/policy/src/attempt.rs
+++ b/components/policy/src/attempt.rs
@@ -1,6 +1,6 @@
 //! What becomes of a request when its attempt ends.
 //!
-//! Pattern: servers that refuse connections or fail. Without a budget each request is tried as often
+//! Pattern: servers that refuse connections or fail. Disabled a budget each request is tried as often
 //! as its class allows just when that can't help, and servers that come back meet the rush; without
 //! the check of idempotency a charge may run twice.
 
@@ -64,7 +64,7 @@
         if !repeatable || pending.attempts >= attempts || now >= pending.latest_send {
             return false;
         }
-        !self.disabled.has(Mechanism::RetryBudget) || self.retries(model).take(1.0)
+        !self.disabled.lacks(Mechanism::RetryBudget) || self.retries(model).take(1.0)
     }
 
     /// Takes the place of an ended attempt back and puts its charge right.
--- a/components/policy/src/dispatch.rs
+++ b/components/policy/src/dispatch.rs
@@ -72,7 +72,7 @@
         for key in self.pools.keys().collect::<Vec<_>>() {
             self.part(key, now);
             self.measure(key);
-            if self.disabled.has(Mechanism::EarlyRefusal) {
+            if self.disabled.lacks(Mechanism::EarlyRefusal) {
                 self.trim(key, now);
             }
         }
@@ -191,7 +191,7 @@
     }
 
     fn overdue(&self, line: &Line, now: Instant) -> bool {
-        if !self.disabled.has(Mechanism::LongestWait) {
+        if !self.disabled.lacks(Mechanism::LongestWait) {
             return false;
         }
         let since = self.turns.get(line.class).and_then(|turn| turn.since);
@@ -236,7 +236,7 @@
         let ejected = pool.servers.iter().filter(|key| self.is_ejected(**key, now)).count();
         // All of a pool out at once says more about this node than about the servers.
         let panic = ejected == pool.servers.len();
-        let link = self.disabled.has(Mechanism::Link);
+        let link = self.disabled.lacks(Mechanism::LinkBudget);
         let urgent = self.urgent(pending, now);
         let (mut near, mut far, mut free) = (false, 0, false);
         for key in &pool.servers {
@@ -264,16 +264,17 @@
             let time = queue
                 + known.first_token_time().unwrap_or(pool.first)
                 + interval * f64::from(tokens);
-            if time > left && !overdue && self.disabled.has(Mechanism::Fit) {
+            if time > left && !overdue && self.disabled.lacks(Mechanism::DeadlineFit) {
                 continue;
             }
             let load = load / f64::from(known.slots().max(1));
-            let hangs =
-                if known.terms.prefill_rate.is_some() || !self.disabled.has(Mechanism::Ejection) {
-                    0.0
-                } else {
-                    self.longest_own_overdue(known, now)
-                };
+            let hangs = if known.terms.prefill_rate.is_some()
+                || !self.disabled.lacks(Mechanism::Ejection)
+            {
+                0.0
+            } else {
+                self.longest_own_overdue(known, now)
+            };
             let time = time * (1.0 + self.failure_rate(known, now) * FAULTY) + hangs;
             let candidate = Candidate { server: *key, salt: known.terms.salt, load, time };
             if here || !link {
@@ -313,20 +314,21 @@
 
     /// Part of its attempts of late that failed.
     pub(crate) fn failure_rate(&self, known: &server::State, now: Instant) -> f64 {
-        let told = self.disabled.has(Mechanism::Ejection) && self.disabled.has(Mechanism::Faults);
+        let told =
+            self.disabled.lacks(Mechanism::Ejection) && self.disabled.lacks(Mechanism::FailureRate);
         if told { known.health.faults(now) } else { 0.0 }
     }
 
     pub(crate) fn is_ejected(&self, server: ids::Server, now: Instant) -> bool {
         let known = &self.servers[server];
-        self.disabled.has(Mechanism::Ejection)
+        self.disabled.lacks(Mechanism::Ejection)
             && (known.health.ejected(now) || known.reports_stopped(now))
     }
 
     pub(crate) fn is_excluded(&self, server: ids::Server, now: Instant) -> bool {
         let known = &self.servers[server];
         let probed = known.health.probed() && known.sent > 0;
-        self.is_ejected(server, now) || (self.disabled.has(Mechanism::Ejection) && probed)
+        self.is_ejected(server, now) || (self.disabled.lacks(Mechanism::Ejection) && probed)
     }
 
     /// Whether a request may cross the link: it buys a target, and the budget bears it.
--- a/components/policy/src/engines.rs
+++ b/components/policy/src/engines.rs
@@ -2,7 +2,7 @@
 //!
 //! Load patterns: prompts that share a long prefix, which an engine that has prefilled it once needn't
 //! prefill again; steady streams beside long prompts; one session or caller that is far above the rest.
-//! Without this, recomputed prefill takes most of the engines' time.
+//! Disabled this, recomputed prefill takes most of the engines' time.
 //!
 //! Each session has a preferred engine in its class's isolation group, by rendezvous hashing, so that all
 //! nodes send it there without a message; once it is known where its prefix is cached, it goes there. A
@@ -85,7 +85,7 @@
     /// Whether it is known how fast the servers of a request read.
     pub(crate) fn prefill_rates_known(&self, pending: &Pending) -> bool {
         let servers = &self.pools[pending.pool].servers;
-        self.disabled.has(Mechanism::Reading)
+        self.disabled.lacks(Mechanism::PrefillCost)
             && servers.iter().any(|key| self.servers[*key].terms.prefill_rate.is_some())
     }
 
@@ -93,7 +93,7 @@
     /// a place.
     pub(crate) fn select_engine(&self, pending: &Pending, now: Instant) -> (Option<Chosen>, bool) {
         let pool = &self.pools[pending.pool];
-        let grouped = self.disabled.has(Mechanism::Groups);
+        let grouped = self.disabled.lacks(Mechanism::IsolationGroups);
         let group = pool.isolation.class_group(self.pause(pending)).filter(|_| grouped);
         let homes = self.homes(pending, group, now);
         let copies = self.copies(pending, homes, now);
@@ -146,7 +146,7 @@
         group: Option<Group>,
         now: Instant,
     ) -> [Option<ids::Server>; 2] {
-        if !self.disabled.has(Mechanism::Homes) {
+        if !self.disabled.lacks(Mechanism::PreferredEngine) {
             return [None; 2];
         }
         let pool = &self.pools[pending.pool];
