--- a/components/forward/src/state.rs
+++ b/components/forward/src/state.rs
@@ -18,7 +18,7 @@
 use crate::crossing::Crossing;
 use crate::gossip::Gossip;
 use crate::limits::{self, Limits};
-use crate::mechanism::{Disabled, Mechanism as Own};
+use crate::mechanism::{Without, Mechanism as Own};
 use crate::names::Names;
 use crate::node::Node;
 use crate::replica::Replica;
@@ -57,7 +57,7 @@
 pub(crate) struct State<S: Site> {
     node: RefCell<Rc<Node>>,
     /// Mechanisms that this node leaves out, as its settings said at its start.
-    pub(crate) without: Disabled,
+    pub(crate) without: Without,
     pub(crate) clock: clock::Runtime,
     pub(crate) site: Dialects<S>,
     pub(crate) turns: Rc<Turns>,
