--- a/components/policy/src/lib.rs
+++ b/components/policy/src/lib.rs
@@ -50,4 +50,4 @@
 pub use terms::{
     Backlog, Cached, Class, Demand, Fetch, Limits, Part, Report, Request, Server, Share, Workspace,
 };
-pub use throttle::{Issuer, Named, Throttle};
+pub use throttle::{Issuer, RateLimit, Throttle};
--- a/components/policy/src/scheduler.rs
+++ b/components/policy/src/scheduler.rs
@@ -13,7 +13,7 @@
 use crate::fair::{self, Fair};
 use crate::isolation::GROUPS;
 use crate::length::Lengths;
-use crate::mechanism::{Mechanism, Without};
+use crate::mechanism::{Disabled, Mechanism};
 use crate::need::Needs;
 use crate::pending::{Expected, Pending, Stage};
 use crate::pick::Candidate;
@@ -73,7 +73,7 @@
     pub(crate) top: u8,
     pub(crate) rng: SmallRng,
     pub(crate) jitter: slots::Jitter,
-    pub(crate) disabled: Without,
+    pub(crate) disabled: Disabled,
     /// A session may have its home in another region.
     pub(crate) cross_region: bool,
 }
@@ -131,7 +131,7 @@
             top: u8::MAX,
             rng: SmallRng::seed_from_u64(seed),
             jitter: slots::Jitter::new(seed),
-            disabled: Without::default(),
+            disabled: Disabled::default(),
             cross_region: true,
         }
         .with_limits()
@@ -149,7 +149,7 @@
     /// assert_eq!(scheduler.waiting(), 0);
     /// ```
     pub fn with_disabled(mut self, mechanism: Mechanism) -> Self {
-        self.disabled.leave_out(mechanism);
+        self.disabled.disable(mechanism);
         self
     }
 
@@ -293,7 +293,7 @@
 
     /// Takes in the sum of [`Scheduler::recent_engine_seconds`] over all nodes.
     pub fn set_fleet_engine_seconds(&mut self, seconds: [f64; GROUPS], now: Instant) {
-        if !self.disabled.has(Mechanism::FleetWork) {
+        if !self.disabled.lacks(Mechanism::FleetWork) {
             return;
         }
         for pool in self.pools.values_mut() {
@@ -339,12 +339,12 @@
 
     /// The lane of a workspace; a single one for all when turns are left out.
     pub(crate) fn lane(&self, workspace: ids::Workspace) -> ids::Workspace {
-        if self.disabled.has(Mechanism::Fairness) { workspace } else { ids::Workspace::default() }
+        if self.disabled.lacks(Mechanism::Fairness) { workspace } else { ids::Workspace::default() }
     }
 
     /// Charges tokens to a workspace and puts its lanes where they belong.
     pub(crate) fn charge(&mut self, class: ids::Class, workspace: ids::Workspace, tokens: i64) {
-        if tokens == 0 || !self.disabled.has(Mechanism::Fairness) {
+        if tokens == 0 || !self.disabled.lacks(Mechanism::Fairness) {
             return;
         }
         let class_weight = self.classes.get(class).map_or(1, |class| class.weight);
@@ -421,7 +421,7 @@
         let ticks = self.tick(now);
         self.expire(now);
         self.dispatch(now, actions);
-        if ticks && self.disabled.has(Mechanism::Stopping) {
+        if ticks && self.disabled.lacks(Mechanism::Preemption) {
             self.stop(now, actions);
             self.rescue(now, actions);
         }
--- a/components/policy/src/server.rs
+++ b/components/policy/src/server.rs
@@ -1,6 +1,6 @@
 //! The state of one backend server: its terms, its reports, and what was sent to it.
 //!
-//! Pattern: reports that lag. Without the correction every node sends to the server that looked
+//! Pattern: reports that lag. Disabled the correction every node sends to the server that looked
 //! idle a while ago, all at once.
 
 use std::collections::VecDeque;
@@ -8,7 +8,7 @@
 
 use crate::health::Health;
 use crate::limit::Limit;
-use crate::mechanism::{Mechanism, Without};
+use crate::mechanism::{Disabled, Mechanism};
 use crate::prefill::Estimator;
 use crate::priority::PerPriority;
 use crate::terms::{Report, Server, Share};
@@ -88,30 +88,30 @@
     }
 
     /// Requests that this node may have there at once.
-    pub(crate) fn node_slots(&self, without: Without) -> u32 {
+    pub(crate) fn node_slots(&self, without: Disabled) -> u32 {
         let slots = self.slots();
-        let shared = self.share.filter(|_| without.has(Mechanism::Sharing));
+        let shared = self.share.filter(|_| without.lacks(Mechanism::SlotSharing));
         let places = shared.map_or(slots, |share| share.slots.min(slots));
         self.limit_of(places, without)
     }
 
-    fn limit_of(&self, places: u32, without: Without) -> u32 {
-        if without.has(Mechanism::AdaptiveLimit) { self.limit.of(places) } else { places }
+    fn limit_of(&self, places: u32, without: Disabled) -> u32 {
+        if without.lacks(Mechanism::AdaptiveLimit) { self.limit.of(places) } else { places }
     }
 
     /// Whether this node may send it one more.
-    pub(crate) fn has_free_slot(&self, without: Without) -> bool {
+    pub(crate) fn has_free_slot(&self, without: Disabled) -> bool {
         self.sent < self.node_slots(without)
     }
 
     /// Whether its rate limit leaves room for one more, if it has named one.
     pub(crate) fn has_permit(&self, now: Instant) -> bool {
-        self.permits.as_ref().is_none_or(|permits| permits.any(now))
+        self.permits.as_ref().is_none_or(|permits| permits.available(now))
     }
 
     /// Whether it seems to have a place, be it this node's or not, and this node holds no more than
     /// its part: one beyond it is all that a node adds to what an engine may be overrun by.
-    pub(crate) fn has_spare_slots(&self, now: Instant, without: Without) -> bool {
+    pub(crate) fn has_spare_slots(&self, now: Instant, without: Disabled) -> bool {
         self.sent <= self.node_slots(without)
             && self.load(now, without) + 2.0 <= f64::from(self.limit_of(self.slots(), without))
     }
@@ -122,17 +122,17 @@
     }
 
     /// Rank of the highest tier that waits for it at a peer while it is full, as far as known.
-    pub(crate) fn peer_waiting_tier(&self, without: Without) -> Option<u8> {
-        let share = self.share.filter(|_| without.has(Mechanism::Sharing))?;
+    pub(crate) fn peer_waiting_tier(&self, without: Disabled) -> Option<u8> {
+        let share = self.share.filter(|_| without.lacks(Mechanism::SlotSharing))?;
         share.waiting.filter(|_| self.is_full())
     }
 
     /// Requests there now, as far as can be told.
-    pub(crate) fn load(&self, now: Instant, without: Without) -> f64 {
+    pub(crate) fn load(&self, now: Instant, without: Disabled) -> f64 {
         let own = f64::from(self.sent + self.share.map_or(0, |share| share.sent));
         let Some(report) = &self.report else { return own };
         let told = f64::from(report.running + report.queued);
-        if !without.has(Mechanism::Correction) {
+        if !without.lacks(Mechanism::LoadCorrection) {
             return told;
         }
         let age = now.saturating_duration_since(report.at).as_secs_f64();
--- a/components/policy/src/slots.rs
+++ b/components/policy/src/slots.rs
@@ -169,7 +169,7 @@
         unreported: Unreported,
         now: Instant,
     ) -> f64 {
-        if !self.disabled.has(Mechanism::Places) {
+        if !self.disabled.lacks(Mechanism::SlotCounts) {
             return 0.0;
         }
         let slots = f64::from(known.slots().max(1));
