--- a/components/forward/src/state.rs
+++ b/components/forward/src/state.rs
@@ -18,7 +18,7 @@
 use crate::crossing::Crossing;
 use crate::gossip::Gossip;
 use crate::limits::{self, Limits};
-use crate::mechanism::{Without, Mechanism as Own};
+use crate::mechanism::{Mechanism as Own, Without};
 use crate::names::Names;
 use crate::node::Node;
 use crate::replica::Replica;
--- a/components/policy/src/lib.rs
+++ b/components/policy/src/lib.rs
@@ -7,6 +7,7 @@
 mod admit;
 mod attempt;
 mod backlog;
+
 mod bucket;
 mod cache;
 mod dispatch;
