--- a/components/policy/src/admit.rs
+++ b/components/policy/src/admit.rs
@@ -42,7 +42,7 @@
         let (class, workspace) = (request.class, request.workspace);
         let terms = self.classes.get(class);
         let tier = terms.map_or(u8::MAX, |class| class.tier);
-        let urgency = terms.map_or(u8::MAX, |class| class.urgency);
+        let priority = terms.map_or(u8::MAX, |class| class.priority);
         let pool = self.pool(&request, now);
         let jitter = self.jitter.next();
         self.pools[pool].jobs += 1;
@@ -50,23 +50,23 @@
             turn.since.get_or_insert(now);
         }
         let pending = Pending {
-            last_call: request.deadline,
+            latest_send: request.deadline,
             request,
             tier,
-            urgency,
+            priority,
             jitter,
             pool,
             stage: Stage::Over,
             attempts: 0,
             stops: 0,
             stopping: false,
-            overdue: false,
+            ahead_of_turn: false,
             produced: 0,
             charged: 0,
             tokens: 0,
             timer: None,
             avoid: None,
-            reading: 0.0,
+            prefill: 0.0,
             ahead: 0.0,
             expected: None,
             sent_at: now,
@@ -100,7 +100,7 @@
     pub(crate) fn rest(&self, pending: &Pending, part: f64) -> u32 {
         let request = &pending.request;
         let most = request.max_tokens.unwrap_or(u32::MAX).saturating_sub(pending.produced).max(1);
-        if !self.without.lacks(Mechanism::LengthEstimates) {
+        if !self.disabled.lacks(Mechanism::LengthEstimates) {
             return 128.min(most);
         }
         let (class, workspace) = (request.class, request.workspace);
@@ -112,12 +112,12 @@
         let pending = &self.jobs[job];
         let rest = self.rest(pending, 0.5);
         let time = self.pools[pending.pool].service(self.rest(pending, SURE));
-        let fit = self.without.lacks(Mechanism::DeadlineFit);
+        let fit = self.disabled.lacks(Mechanism::DeadlineFit);
         let pending = &mut self.jobs[job];
         pending.tokens = rest;
         let deadline = pending.request.deadline;
         let call = deadline.checked_sub(Duration::from_secs_f64(time.min(3_600.0)));
-        pending.last_call = call.filter(|_| fit).unwrap_or(deadline);
+        pending.latest_send = call.filter(|_| fit).unwrap_or(deadline);
     }
 
     /// Puts a request into its queue.
@@ -130,7 +130,7 @@
         let target = self.classes.get(class).map_or(Duration::ZERO, |class| class.first_token);
         let reading = Duration::from_secs_f64(self.pools[pool].first * READING);
         let late_at = pending.request.arrived + target.saturating_sub(reading);
-        let late = !begun && late_at <= now && self.without.lacks(Mechanism::Yielding);
+        let late = !begun && late_at <= now && self.disabled.lacks(Mechanism::Yielding);
         let lane = self.lane(workspace);
         let counter = self.lift(pool, tier, class, lane);
         let open = self.open(workspace);
@@ -140,8 +140,8 @@
         line.blocked = 0;
         let pending = &mut self.jobs[job];
         pending.stage = Stage::Waiting { late };
-        let yields = !late && !begun && self.without.lacks(Mechanism::Yielding);
-        let timer = if yields { late_at.min(pending.last_call) } else { pending.last_call };
+        let yields = !late && !begun && self.disabled.lacks(Mechanism::Yielding);
+        let timer = if yields { late_at.min(pending.latest_send) } else { pending.latest_send };
         pending.timer = Some(timer);
         self.timers.insert((timer, job));
         self.waiting += 1;
@@ -149,7 +149,7 @@
 
     /// Brings counters of a class and a lane that were idle up to those that weren't.
     fn lift(&mut self, pool: Key, tier: u8, class: ids::Class, lane: ids::Workspace) -> u64 {
-        if !self.without.lacks(Mechanism::Fairness) {
+        if !self.disabled.lacks(Mechanism::Fairness) {
             return 0;
         }
         let busy = |class: ids::Class| {
@@ -201,7 +201,7 @@
     ) -> f64 {
         let pool = &self.pools[pending.pool];
         let mut ahead = 0;
-        let bearable = pending.last_call.saturating_duration_since(now).as_secs_f64();
+        let bearable = pending.latest_send.saturating_duration_since(now).as_secs_f64();
         let (mut above, mut tokens_above, mut weights) = (0.0, 0, 0);
         let own = self.classes.get(pending.request.class).map_or(1, |class| class.weight);
         for line in &pool.lines {
@@ -228,7 +228,7 @@
 
     /// Whether the longest wait of its class brings a request its turn in time.
     pub(crate) fn promised(&self, pending: &Pending) -> bool {
-        if !self.without.lacks(Mechanism::LongestWait) {
+        if !self.disabled.lacks(Mechanism::LongestWait) {
             return false;
         }
         let class = pending.request.class;
@@ -236,15 +236,15 @@
         let alone = lines.filter(|line| line.class == class).map(|l| l.len()).sum::<usize>() <= 1;
         let since = self.turns.get(class).and_then(|turn| turn.since);
         let longest = self.classes.get(class).map_or(Duration::MAX, |class| class.longest_wait);
-        alone && since.is_some_and(|since| since + longest <= pending.last_call)
+        alone && since.is_some_and(|since| since + longest <= pending.latest_send)
     }
 
     /// When a request that can't be served in time had better be sent again.
     fn hopeless(&self, job: ids::Job, now: Instant) -> Option<Duration> {
         let pending = &self.jobs[job];
-        let early = self.without.lacks(Mechanism::EarlyRefusal);
+        let early = self.disabled.lacks(Mechanism::EarlyRefusal);
         let wait = self.forecast(pending, Some(self.lane(pending.request.workspace)), now);
-        let bearable = pending.last_call.saturating_duration_since(now).as_secs_f64();
+        let bearable = pending.latest_send.saturating_duration_since(now).as_secs_f64();
         let over = wait > bearable * CONFIDENT && !self.promised(pending);
         let late = bearable == 0.0 || (early && over);
         late.then(|| self.again_after(job, now))
@@ -253,7 +253,7 @@
     pub(crate) fn again_after(&self, job: ids::Job, now: Instant) -> Duration {
         let pending = &self.jobs[job];
         let wait = self.forecast(pending, None, now);
-        let useful = pending.last_call.saturating_duration_since(pending.request.arrived);
+        let useful = pending.latest_send.saturating_duration_since(pending.request.arrived);
         let spread = crate::pick::mix(slotmap::Key::data(&job).as_ffi()) as f64 / u64::MAX as f64;
         forecast::again(wait, useful.as_secs_f64() / 2.0, spread)
     }
@@ -293,7 +293,7 @@
             let longest = bands().max_by_key(|band| band.longest());
             return late().or(longest)?.tail();
         }
-        if !self.without.lacks(Mechanism::Fairness) {
+        if !self.disabled.lacks(Mechanism::Fairness) {
             return None;
         }
         let longest = bands().max_by_key(|band| band.longest())?;
--- a/components/policy/src/hanging.rs
+++ b/components/policy/src/hanging.rs
@@ -43,11 +43,11 @@
     /// meanwhile waits as well.
     pub(crate) fn overdue_here(&self, known: &server::State, now: Instant) -> Ranked {
         let mut overdue = Ranked::default();
-        if !self.without.lacks(Mechanism::StallDetection) {
+        if !self.disabled.lacks(Mechanism::StallDetection) {
             return overdue;
         }
         for pending in known.jobs.iter().filter_map(|job| self.jobs.get(*job)) {
-            overdue.raise(pending.urgency, self.overdue_by(pending, known, now));
+            overdue.raise(pending.priority, self.overdue_by(pending, known, now));
         }
         overdue
     }
@@ -66,7 +66,7 @@
         let target = self.classes.get(pending.request.class).map(|class| class.first_token);
         let usual = target.unwrap_or_default().as_secs_f64() * EASE;
         let waited = now.saturating_duration_since(pending.sent_at).as_secs_f64();
-        waited - usual.max(pending.reading + known.reading.least())
+        waited - usual.max(pending.prefill + known.reading.least())
     }
 
     /// Whether an engine can be relied on to hand over what it keeps: none of this node's requests waits too
@@ -83,7 +83,8 @@
     /// has few requests at an engine: going by its own, each leaves out one that is merely full.
     pub(crate) fn hung(&self, pending: &Pending, server: ids::Server, now: Instant) -> bool {
         let Some(known) = self.servers.get(server) else { return false };
-        let reads = known.terms.reads.is_some() && self.without.lacks(Mechanism::StallDetection);
+        let reads =
+            known.terms.prefill_rate.is_some() && self.disabled.lacks(Mechanism::StallDetection);
         let silent = known.reading.last_begun() <= Some(pending.sent_at);
         reads && silent && self.overdue_by(pending, known, now) > SILENT
     }
