--- a/components/policy/src/admit.rs
+++ b/components/policy/src/admit.rs
@@ -254,7 +254,7 @@
         let pending = &self.jobs[job];
         let wait = self.forecast(pending, None, now);
         let useful = pending.latest_send.saturating_duration_since(pending.request.arrived);
-        let spread = crate::pick::mix(slotmap::Key::data(&job).as_ffi()) as f64 / u64::MAX as f64;
+        let spread = crate::pick::mix64(slotmap::Key::data(&job).as_ffi()) as f64 / u64::MAX as f64;
         forecast::again(wait, useful.as_secs_f64() / 2.0, spread)
     }
 
