--- a/components/policy/src/admit.rs
+++ b/components/policy/src/admit.rs
@@ -104,14 +104,14 @@
             return 128.min(most);
         }
         let (class, workspace) = (request.class, request.workspace);
-        self.lengths.rest(class, workspace, pending.produced, part).min(most)
+        self.lengths.remaining(class, workspace, pending.produced, part).min(most)
     }
 
     /// Works out what a request stands for while it waits, and when it is too late to send it.
     fn estimate(&mut self, job: ids::Job) {
         let pending = &self.jobs[job];
         let rest = self.rest(pending, 0.5);
-        let time = self.pools[pending.pool].service(self.rest(pending, SURE));
+        let time = self.pools[pending.pool].service_seconds(self.rest(pending, SURE));
         let fit = self.disabled.lacks(Mechanism::DeadlineFit);
         let pending = &mut self.jobs[job];
         pending.tokens = rest;
@@ -128,16 +128,16 @@
         let (tier, pool) = (pending.tier, pending.pool);
         let begun = pending.produced > 0;
         let target = self.classes.get(class).map_or(Duration::ZERO, |class| class.first_token);
-        let reading = Duration::from_secs_f64(self.pools[pool].first * READING);
+        let reading = Duration::from_secs_f64(self.pools[pool].first_token_time * READING);
         let late_at = pending.request.arrived + target.saturating_sub(reading);
         let late = !begun && late_at <= now && self.disabled.lacks(Mechanism::Yielding);
         let lane = self.lane(workspace);
         let counter = self.lift(pool, tier, class, lane);
         let open = self.open(workspace);
         let entry = self.jobs[job].entry(job, lane);
-        let line = self.pools[pool].line(tier, class);
-        line.band(late).push(entry, counter, open);
-        line.blocked = 0;
+        let line = self.pools[pool].queue_mut(tier, class);
+        line.lanes_mut(late).push(entry, counter, open);
+        line.blocked_epoch = 0;
         let pending = &mut self.jobs[job];
         pending.stage = Stage::Waiting { late };
         let yields = !late && !begun && self.disabled.lacks(Mechanism::Yielding);
@@ -153,18 +153,19 @@
             return 0;
         }
         let busy = |class: ids::Class| {
-            let lines = self.pools.values().flat_map(|pool| &pool.lines);
+            let lines = self.pools.values().flat_map(|pool| &pool.queues);
             lines.filter(|line| line.class == class).any(|line| line.len() > 0)
         };
         if !busy(class) {
-            let others = self.pools.values().flat_map(|pool| &pool.lines);
+            let others = self.pools.values().flat_map(|pool| &pool.queues);
             let others = others.filter(|line| line.tier == tier && line.len() > 0);
-            let floor = others.map(|line| self.fair.class(line.class)).min().unwrap_or(0);
+            let floor = others.map(|line| self.fair.class_counter(line.class)).min().unwrap_or(0);
             self.fair.lift_class(class, floor);
         }
-        let line = self.pools[pool].line(tier, class);
-        let first = line.fresh.floor().into_iter().chain(line.late.floor()).min();
-        let floor = first.unwrap_or(line.floor);
+        let line = self.pools[pool].queue_mut(tier, class);
+        let first =
+            line.on_time.lowest_counter().into_iter().chain(line.late.lowest_counter()).min();
+        let floor = first.unwrap_or(line.last_counter);
         self.fair.lift_workspace(class, lane, floor)
     }
 
@@ -180,7 +181,7 @@
         let pending = &self.jobs[job];
         let entry = pending.entry(job, self.lane(pending.request.workspace));
         let (tier, class) = (pending.tier, pending.request.class);
-        if self.pools[pending.pool].line(tier, class).band(late).remove(entry) {
+        if self.pools[pending.pool].queue_mut(tier, class).lanes_mut(late).remove(entry) {
             self.waiting -= 1;
         }
     }
@@ -204,16 +205,16 @@
         let bearable = pending.latest_send.saturating_duration_since(now).as_secs_f64();
         let (mut above, mut tokens_above, mut weights) = (0.0, 0, 0);
         let own = self.classes.get(pending.request.class).map_or(1, |class| class.weight);
-        for line in &pool.lines {
+        for line in &pool.queues {
             if line.tier < pending.tier {
-                above += line.flow.rate(bearable, now);
+                above += line.throughput.rate(bearable, now);
                 tokens_above += line.tokens();
             } else if line.class == pending.request.class {
                 ahead = match lane {
                     Some(lane) => {
-                        let (_, tokens) = line.fresh.lane(lane);
-                        let turns = line.fresh.lanes().max(1) as u64;
-                        line.fresh.tokens().min(turns * (tokens + u64::from(pending.tokens)))
+                        let (_, tokens) = line.on_time.lane_size(lane);
+                        let turns = line.on_time.lane_count().max(1) as u64;
+                        line.on_time.tokens().min(turns * (tokens + u64::from(pending.tokens)))
                     }
                     None => line.tokens(),
                 };
@@ -222,8 +223,8 @@
             }
         }
         let part = f64::from(own) / f64::from(own + weights);
-        let higher = forecast::wait(tokens_above, pool.rate, 0.0);
-        higher + forecast::wait(ahead, pool.rate * part, above * part)
+        let higher = forecast::wait_seconds(tokens_above, pool.token_rate, 0.0);
+        higher + forecast::wait_seconds(ahead, pool.token_rate * part, above * part)
     }
 
     /// Whether the longest wait of its class brings a request its turn in time.
@@ -232,7 +233,7 @@
             return false;
         }
         let class = pending.request.class;
-        let lines = self.pools.values().flat_map(|pool| &pool.lines);
+        let lines = self.pools.values().flat_map(|pool| &pool.queues);
         let alone = lines.filter(|line| line.class == class).map(|l| l.len()).sum::<usize>() <= 1;
         let since = self.turns.get(class).and_then(|turn| turn.since);
         let longest = self.classes.get(class).map_or(Duration::MAX, |class| class.longest_wait);
@@ -255,7 +256,7 @@
         let wait = self.forecast(pending, None, now);
         let useful = pending.latest_send.saturating_duration_since(pending.request.arrived);
         let spread = crate::pick::mix64(slotmap::Key::data(&job).as_ffi()) as f64 / u64::MAX as f64;
-        forecast::again(wait, useful.as_secs_f64() / 2.0, spread)
+        forecast::retry_after(wait, useful.as_secs_f64() / 2.0, spread)
     }
 
     /// Makes room for a request if the queue is full; returns whether there is any.
@@ -266,7 +267,7 @@
             return true;
         }
         let (tier, class, lane) = (pending.tier, pending.request.class, pending.request.workspace);
-        let own = self.pools[pending.pool].line(tier, class).fresh.lane(lane).0;
+        let own = self.pools[pending.pool].queue_mut(tier, class).on_time.lane_size(lane).0;
         let Some(victim) = self.victim(tier, own) else { return false };
         self.give_up(victim, Refusal::Displaced, now);
         true
@@ -274,7 +275,7 @@
 
     /// The request to give up for one of `tier` whose own lane holds `own` requests.
     fn victim(&self, tier: u8, own: usize) -> Option<ids::Job> {
-        let lines = || self.pools.values().flat_map(|pool| &pool.lines).filter(|l| l.len() > 0);
+        let lines = || self.pools.values().flat_map(|pool| &pool.queues).filter(|l| l.len() > 0);
         let lowest = lines().map(|line| line.tier).max()?;
         if let Some((parked, job)) = self.parked.last()
             && *parked > tier.max(lowest)
@@ -286,17 +287,17 @@
         }
         let bands = || {
             let lines = lines().filter(|line| line.tier == lowest);
-            lines.flat_map(|line| [&line.late, &line.fresh])
+            lines.flat_map(|line| [&line.late, &line.on_time])
         };
         let late = || lines().filter(|l| l.tier == lowest).map(|l| &l.late).find(|b| b.len() > 0);
         if lowest > tier {
-            let longest = bands().max_by_key(|band| band.longest());
-            return late().or(longest)?.tail();
+            let longest = bands().max_by_key(|band| band.longest_lane());
+            return late().or(longest)?.victim();
         }
         if !self.disabled.lacks(Mechanism::Fairness) {
             return None;
         }
-        let longest = bands().max_by_key(|band| band.longest())?;
-        if longest.longest() > own + LONGER { longest.tail() } else { None }
+        let longest = bands().max_by_key(|band| band.longest_lane())?;
+        if longest.longest_lane() > own + LONGER { longest.victim() } else { None }
     }
 }
--- a/components/policy/src/attempt.rs
+++ b/components/policy/src/attempt.rs
@@ -64,7 +64,7 @@
         if !repeatable || pending.attempts >= attempts || now >= pending.latest_send {
             return false;
         }
-        !self.disabled.lacks(Mechanism::RetryBudget) || self.retries(model).take(1.0)
+        !self.disabled.lacks(Mechanism::RetryBudget) || self.retries(model).try_take(1.0)
     }
 
     /// Takes the place of an ended attempt back and puts its charge right.
@@ -76,17 +76,17 @@
         if let Some(known) = self.servers.get_mut(server) {
             known.record_end(job, urgency, now);
             if hung {
-                known.health.ended(false, now);
-                known.health.hung(self.jobs[job].sent_at, now, jitter);
+                known.health.record_outcome(false, now);
+                known.health.record_stall(self.jobs[job].sent_at, now, jitter);
             }
             known.prefill.prompt_done(urgency, reading);
             if !matches!(ending, Ending::Cancelled | Ending::Stopped) {
-                known.health.ended(ending == Ending::Completed, now);
+                known.health.record_outcome(ending == Ending::Completed, now);
             }
             match ending {
-                Ending::Completed => known.health.good(),
+                Ending::Completed => known.health.record_response(),
                 Ending::NotRun | Ending::Unreached | Ending::Failed => {
-                    known.health.failed(now, jitter);
+                    known.health.record_failure(now, jitter);
                 }
                 Ending::Cancelled | Ending::Stopped | Ending::ServerError => {}
             }
@@ -103,7 +103,7 @@
         let produced = pending.produced;
         self.charge(class, workspace, change);
         if ending == Ending::Completed && produced > 0 {
-            self.lengths.add(class, workspace, produced);
+            self.lengths.record(class, workspace, produced);
         }
         if let Some(count) = self.in_flight.get_mut(workspace) {
             *count = count.saturating_sub(1);
--- a/components/policy/src/bucket.rs
+++ b/components/policy/src/bucket.rs
@@ -22,18 +22,18 @@
     }
 
     /// Adds what has come since the last call at a rate a second.
-    pub(crate) fn flow(&mut self, rate: f64, now: Instant) {
+    pub(crate) fn refill(&mut self, rate: f64, now: Instant) {
         let last = self.filled.replace(now).unwrap_or(now);
         self.add(rate * now.saturating_duration_since(last).as_secs_f64());
     }
 
     /// Part of the ceiling that is held.
-    pub(crate) fn part(&self) -> f64 {
+    pub(crate) fn fill_ratio(&self) -> f64 {
         if self.ceiling > 0.0 { self.held / self.ceiling } else { 0.0 }
     }
 
     /// Spends an amount if it is there.
-    pub(crate) fn take(&mut self, amount: f64) -> bool {
+    pub(crate) fn try_take(&mut self, amount: f64) -> bool {
         if self.held < amount {
             return false;
         }
@@ -42,7 +42,7 @@
     }
 
     /// Spends an amount, below zero if need be: it was found out after the fact.
-    pub(crate) fn owe(&mut self, amount: f64) {
+    pub(crate) fn overdraw(&mut self, amount: f64) {
         self.held = (self.held - amount).max(-self.ceiling);
     }
 }
--- a/components/policy/src/dispatch.rs
+++ b/components/policy/src/dispatch.rs
@@ -13,7 +13,7 @@
 use crate::mechanism::Mechanism;
 use crate::pending::{Pending, Stage};
 use crate::pick::{self, Candidate};
-use crate::pool::{Key, Line};
+use crate::pool::{Key, Queue};
 use crate::scheduler::Scheduler;
 use crate::server::{self, DEFAULT_FIRST_TOKEN_SECONDS, DEFAULT_TOKEN_SECONDS};
 
@@ -62,13 +62,13 @@
             return false;
         }
         let last = self.ticked.replace(now).unwrap_or(now);
-        let lines = self.pools.values().flat_map(|pool| &pool.lines);
+        let lines = self.pools.values().flat_map(|pool| &pool.queues);
         let waiting = lines.map(|line| (line.class, line.len()));
         let sent = self.servers.values().flat_map(|known| &known.jobs);
         let sent = sent.filter_map(|job| self.jobs.get(*job)).map(|pending| pending.request.class);
         self.needs.add(waiting, sent, now.saturating_duration_since(last));
         self.epoch += 1;
-        self.link.flow(self.limits.link_bytes as f64, now);
+        self.link.refill(self.limits.link_bytes as f64, now);
         for key in self.pools.keys().collect::<Vec<_>>() {
             self.part(key, now);
             self.measure(key);
@@ -106,17 +106,17 @@
             firsts.extend(known.first_token_time());
         }
         let pool = &mut self.pools[key];
-        pool.rate = rate;
-        pool.interval = median(&mut intervals).unwrap_or(DEFAULT_TOKEN_SECONDS);
-        pool.first = median(&mut firsts).unwrap_or(DEFAULT_FIRST_TOKEN_SECONDS);
+        pool.token_rate = rate;
+        pool.token_interval = median(&mut intervals).unwrap_or(DEFAULT_TOKEN_SECONDS);
+        pool.first_token_time = median(&mut firsts).unwrap_or(DEFAULT_FIRST_TOKEN_SECONDS);
     }
 
     /// Gives up what can't be served in time, from the end of each line.
     fn trim(&mut self, key: Key, now: Instant) {
-        for index in 0..self.pools[key].lines.len() {
+        for index in 0..self.pools[key].queues.len() {
             for _ in 0..TRIM {
-                let line = &self.pools[key].lines[index];
-                let Some(job) = line.late.tail().or_else(|| line.fresh.tail()) else { break };
+                let line = &self.pools[key].queues[index];
+                let Some(job) = line.late.victim().or_else(|| line.on_time.victim()) else { break };
                 let pending = &self.jobs[job];
                 let wait = self.forecast(pending, None, now);
                 let bearable = pending.latest_send.saturating_duration_since(now).as_secs_f64();
@@ -154,17 +154,17 @@
     /// Sends what finds a place.
     pub(crate) fn dispatch(&mut self, now: Instant, actions: &mut Vec<Action>) {
         while let Some((pool, index, overdue)) = self.next(now) {
-            let line = &mut self.pools[pool].lines[index];
-            let Some(job) = line.head() else { break };
-            line.blocked = self.epoch;
+            let line = &mut self.pools[pool].queues[index];
+            let Some(job) = line.peek() else { break };
+            line.blocked_epoch = self.epoch;
             match self.choose(job, overdue, now) {
                 Choice::Busy => {}
-                Choice::Full => self.pools[pool].full = self.epoch,
+                Choice::Full => self.pools[pool].full_epoch = self.epoch,
                 Choice::Nobody => self.give_up(job, Refusal::NoServer, now),
                 Choice::Server(server) => {
                     self.jobs[job].ahead_of_turn |= overdue;
                     self.send(job, server, now);
-                    self.pools[pool].lines[index].blocked = 0;
+                    self.pools[pool].queues[index].blocked_epoch = 0;
                     actions.push(Action::Send { job, server });
                 }
             }
@@ -175,13 +175,13 @@
     fn next(&self, now: Instant) -> Option<Place> {
         let mut best: Option<((bool, u8, u64), Place)> = None;
         for (key, pool) in &self.pools {
-            for (index, line) in pool.lines.iter().enumerate() {
-                let full = pool.full == self.epoch && line.tier != self.top;
-                if full || line.blocked == self.epoch || line.head().is_none() {
+            for (index, line) in pool.queues.iter().enumerate() {
+                let full = pool.full_epoch == self.epoch && line.tier != self.top;
+                if full || line.blocked_epoch == self.epoch || line.peek().is_none() {
                     continue;
                 }
                 let overdue = self.overdue(line, now);
-                let order = (!overdue, line.tier, self.fair.class(line.class));
+                let order = (!overdue, line.tier, self.fair.class_counter(line.class));
                 if best.as_ref().is_none_or(|(first, ..)| order < *first) {
                     best = Some((order, (key, index, overdue)));
                 }
@@ -190,7 +190,7 @@
         best.map(|(_, place)| place)
     }
 
-    fn overdue(&self, line: &Line, now: Instant) -> bool {
+    fn overdue(&self, line: &Queue, now: Instant) -> bool {
         if !self.disabled.lacks(Mechanism::LongestWait) {
             return false;
         }
@@ -256,13 +256,13 @@
                 continue;
             }
             let interval = known.token_interval();
-            let straggles = interval > pool.interval * STRAGGLER;
+            let straggles = interval > pool.token_interval * STRAGGLER;
             let tokens = if straggles { safe } else { rest };
             let load = known.load(now, self.disabled);
             let over = (load + 1.0 - f64::from(known.slots())).max(0.0);
-            let queue = over * pool.service(USUAL) / f64::from(known.slots().max(1));
+            let queue = over * pool.service_seconds(USUAL) / f64::from(known.slots().max(1));
             let time = queue
-                + known.first_token_time().unwrap_or(pool.first)
+                + known.first_token_time().unwrap_or(pool.first_token_time)
                 + interval * f64::from(tokens);
             if time > left && !overdue && self.disabled.lacks(Mechanism::DeadlineFit) {
                 continue;
@@ -316,18 +316,18 @@
     pub(crate) fn failure_rate(&self, known: &server::State, now: Instant) -> f64 {
         let told =
             self.disabled.lacks(Mechanism::Ejection) && self.disabled.lacks(Mechanism::FailureRate);
-        if told { known.health.faults(now) } else { 0.0 }
+        if told { known.health.failure_rate(now) } else { 0.0 }
     }
 
     pub(crate) fn is_ejected(&self, server: ids::Server, now: Instant) -> bool {
         let known = &self.servers[server];
         self.disabled.lacks(Mechanism::Ejection)
-            && (known.health.ejected(now) || known.reports_stopped(now))
+            && (known.health.is_ejected(now) || known.reports_stopped(now))
     }
 
     pub(crate) fn is_excluded(&self, server: ids::Server, now: Instant) -> bool {
         let known = &self.servers[server];
-        let probed = known.health.probed() && known.sent > 0;
+        let probed = known.health.is_on_probation() && known.sent > 0;
         self.is_ejected(server, now) || (self.disabled.lacks(Mechanism::Ejection) && probed)
     }
 
@@ -337,7 +337,7 @@
             self.classes.get(pending.request.class).map_or(Duration::ZERO, |c| c.first_token);
         let waited = now.saturating_duration_since(pending.request.arrived);
         let reserve = (f64::from(pending.tier) * LINK_STEP).min(0.8);
-        let affordable = self.link.part() > reserve;
+        let affordable = self.link.fill_ratio() > reserve;
         affordable && (!near || waited >= target.mul_f64(CROSS))
     }
 
@@ -358,16 +358,16 @@
         let far = self.servers[server].terms.region != pending.request.region;
         self.servers[server].record_send(job, urgency, now);
         let lane = self.lane(workspace);
-        let counter = self.fair.workspace(class, lane);
-        let line = self.pools[pool].line(tier, class);
-        line.flow.add(tokens, now);
-        line.floor = line.floor.max(counter);
+        let counter = self.fair.workspace_counter(class, lane);
+        let line = self.pools[pool].queue_mut(tier, class);
+        line.throughput.record(tokens, now);
+        line.last_counter = line.last_counter.max(counter);
         let waits = line.len() > 0;
         if let Some(turn) = self.turns.get_mut(class) {
             turn.since = waits.then_some(now);
         }
         if far {
-            self.link.owe(f64::from(bytes));
+            self.link.overdraw(f64::from(bytes));
         }
         if first {
             let part = f64::from(self.limits.retry_percent) / 100.0;
--- a/components/policy/src/fair.rs
+++ b/components/policy/src/fair.rs
@@ -25,17 +25,17 @@
 
 /// Counters of classes and of workspaces within them.
 #[derive(Debug, Default)]
-pub(crate) struct Fair {
+pub(crate) struct Counters {
     classes: SecondaryMap<ids::Class, u64>,
     workspaces: HashMap<(ids::Class, ids::Workspace), u64>,
 }
 
-impl Fair {
-    pub(crate) fn class(&self, class: ids::Class) -> u64 {
+impl Counters {
+    pub(crate) fn class_counter(&self, class: ids::Class) -> u64 {
         self.classes.get(class).copied().unwrap_or(0)
     }
 
-    pub(crate) fn workspace(&self, class: ids::Class, workspace: ids::Workspace) -> u64 {
+    pub(crate) fn workspace_counter(&self, class: ids::Class, workspace: ids::Workspace) -> u64 {
         self.workspaces.get(&(class, workspace)).copied().unwrap_or(0)
     }
 
--- a/components/policy/src/forecast.rs
+++ b/components/policy/src/forecast.rs
@@ -20,14 +20,14 @@
 
 /// Tokens a second that a class is given, as exponential means.
 #[derive(Debug, Default)]
-pub(crate) struct Flow {
+pub(crate) struct Throughput {
     fast: f64,
     slow: f64,
     at: Option<Instant>,
 }
 
-impl Flow {
-    pub(crate) fn add(&mut self, tokens: u32, now: Instant) {
+impl Throughput {
+    pub(crate) fn record(&mut self, tokens: u32, now: Instant) {
         let (fast, slow) = self.rates(now);
         self.fast = fast + f64::from(tokens) / FAST;
         self.slow = slow + f64::from(tokens) / SLOW;
@@ -49,7 +49,7 @@
 }
 
 /// Seconds until `ahead` tokens are given places, where `above` of `rate` goes to higher tiers.
-pub(crate) fn wait(ahead: u64, rate: f64, above: f64) -> f64 {
+pub(crate) fn wait_seconds(ahead: u64, rate: f64, above: f64) -> f64 {
     if ahead == 0 {
         return 0.0;
     }
@@ -58,7 +58,7 @@
 
 /// When a caller may try again: once the forecast fits what the request can bear. `jitter` from 0 to
 /// 1 keeps callers that were refused together from coming back together.
-pub(crate) fn again(wait: f64, bearable: f64, jitter: f64) -> Duration {
+pub(crate) fn retry_after(wait: f64, bearable: f64, jitter: f64) -> Duration {
     let excess = (wait - bearable.max(0.0)).max(SHORTEST);
     Duration::from_secs_f64((excess * (1.0 + jitter * 0.25)).min(LONGEST))
 }
--- a/components/policy/src/health.rs
+++ b/components/policy/src/health.rs
@@ -35,28 +35,28 @@
 
 impl Health {
     /// An attempt got an answer.
-    pub(crate) fn good(&mut self) {
+    pub(crate) fn record_response(&mut self) {
         self.failures = 0;
         self.until = None;
     }
 
     /// An attempt ended, well or not.
-    pub(crate) fn ended(&mut self, well: bool, now: Instant) {
-        let held = self.faults(now);
+    pub(crate) fn record_outcome(&mut self, well: bool, now: Instant) {
+        let held = self.failure_rate(now);
         let sample = if well { 0.0 } else { 1.0 };
         self.part = held + (sample - held) * WEIGHT;
         self.ended = Some(now);
     }
 
     /// Part of the attempts of late that failed.
-    pub(crate) fn faults(&self, now: Instant) -> f64 {
+    pub(crate) fn failure_rate(&self, now: Instant) -> f64 {
         let Some(ended) = self.ended else { return 0.0 };
         let age = now.saturating_duration_since(ended).as_secs_f64() / HALF.as_secs_f64();
         self.part * (-age).exp2()
     }
 
     /// An attempt failed. `jitter` is from 0 to 1 and keeps nodes from probing in step.
-    pub(crate) fn failed(&mut self, now: Instant, jitter: f64) {
+    pub(crate) fn record_failure(&mut self, now: Instant, jitter: f64) {
         self.failures = self.failures.saturating_add(1);
         if self.failures < FAILURES {
             return;
@@ -69,21 +69,21 @@
 
     /// An attempt sent at `sent` was given up, and the server has begun nothing since. That is no
     /// chance; of several that were there at once only the first says something new.
-    pub(crate) fn hung(&mut self, sent: Instant, now: Instant, jitter: f64) {
+    pub(crate) fn record_stall(&mut self, sent: Instant, now: Instant, jitter: f64) {
         if self.since.is_some_and(|since| sent < since) {
             return;
         }
         self.failures = self.failures.max(FAILURES - 1);
-        self.failed(now, jitter);
+        self.record_failure(now, jitter);
     }
 
     /// Left out now.
-    pub(crate) fn ejected(&self, now: Instant) -> bool {
+    pub(crate) fn is_ejected(&self, now: Instant) -> bool {
         self.until.is_some_and(|until| now < until)
     }
 
     /// Back on probation: one request at a time until one is answered.
-    pub(crate) fn probed(&self) -> bool {
+    pub(crate) fn is_on_probation(&self) -> bool {
         self.until.is_some()
     }
 }
--- a/components/policy/src/health/tests.rs
+++ b/components/policy/src/health/tests.rs
@@ -8,13 +8,13 @@
 fn a_part_that_fails_is_seen_and_forgotten() {
     let (mut health, now) = (Health::default(), Instant::now());
     for n in 0..60 {
-        health.ended(n % 3 != 0, now);
+        health.record_outcome(n % 3 != 0, now);
     }
-    let faults = health.faults(now);
+    let faults = health.failure_rate(now);
     assert!((0.15..0.5).contains(&faults), "{faults}");
-    assert!(health.faults(now + Duration::from_secs(30)) < 0.01);
+    assert!(health.failure_rate(now + Duration::from_secs(30)) < 0.01);
     for _ in 0..60 {
-        health.ended(true, now);
+        health.record_outcome(true, now);
     }
-    assert!(health.faults(now) < 0.01);
+    assert!(health.failure_rate(now) < 0.01);
 }
--- a/components/policy/src/length.rs
+++ b/components/policy/src/length.rs
@@ -77,7 +77,7 @@
 
 impl Lengths {
     /// Takes in an answer that ended whole.
-    pub(crate) fn add(&mut self, class: ids::Class, workspace: ids::Workspace, tokens: u32) {
+    pub(crate) fn record(&mut self, class: ids::Class, workspace: ids::Workspace, tokens: u32) {
         if let Some(entry) = self.classes.entry(class) {
             entry.or_default().add(tokens);
         }
@@ -88,7 +88,7 @@
     }
 
     /// Tokens still to come of an answer of which `produced` came, at the quantile `part`.
-    pub(crate) fn rest(
+    pub(crate) fn remaining(
         &self,
         class: ids::Class,
         workspace: ids::Workspace,
--- a/components/policy/src/limit.rs
+++ b/components/policy/src/limit.rs
@@ -55,7 +55,7 @@
     }
 
     /// Of so many places, those in use; at least one.
-    pub(crate) fn of(&self, places: u32) -> u32 {
+    pub(crate) fn usable_slots(&self, places: u32) -> u32 {
         if places == 0 {
             return 0;
         }
--- a/components/policy/src/limit/tests.rs
+++ b/components/policy/src/limit/tests.rs
@@ -7,11 +7,11 @@
 fn settle(slow: f64) -> u32 {
     let (start, mut limit) = (Instant::now(), Limit::default());
     for tenth in 0..1_200 {
-        let ramp = (tenth + 1).min(limit.of(SLOTS));
+        let ramp = (tenth + 1).min(limit.usable_slots(SLOTS));
         let interval = 0.020 * slow * (1.0 + f64::from(ramp) / 16.0);
         limit.observe(interval, TARGET, SLOTS, start + Duration::from_millis(100) * tenth);
     }
-    limit.of(SLOTS)
+    limit.usable_slots(SLOTS)
 }
 
 /// The settings give an engine more places than its batch can serve in time. All its streams crawl,
@@ -30,5 +30,5 @@
     for second in 0..60 {
         limit.observe(0.3, TARGET, 8, start + Duration::from_secs(second));
     }
-    assert_eq!(limit.of(8), 8);
+    assert_eq!(limit.usable_slots(8), 8);
 }
--- a/components/policy/src/pool.rs
+++ b/components/policy/src/pool.rs
@@ -3,9 +3,9 @@
 //! All requests of a pool ask for the same model and may use the same servers, so when the head of
 //! a class finds no place, nothing behind it would either, and a decision needn't look further.
 
-use crate::forecast::Flow;
+use crate::forecast::Throughput;
 use crate::isolation::Isolation;
-use crate::queue::Band;
+use crate::queue::Lanes;
 
 slotmap::new_key_type! {
     /// A pool.
@@ -14,34 +14,34 @@
 
 /// Requests of one class that wait for a pool.
 #[derive(Debug)]
-pub(crate) struct Line {
+pub(crate) struct Queue {
     pub(crate) class: ids::Class,
     pub(crate) tier: u8,
-    pub(crate) fresh: Band,
+    pub(crate) on_time: Lanes,
     /// Those whose first-token target is missed.
-    pub(crate) late: Band,
-    pub(crate) flow: Flow,
+    pub(crate) late: Lanes,
+    pub(crate) throughput: Throughput,
     /// Epoch in which its head found no place.
-    pub(crate) blocked: u64,
+    pub(crate) blocked_epoch: u64,
     /// Counter of the lane last served.
-    pub(crate) floor: u64,
+    pub(crate) last_counter: u64,
 }
 
-impl Line {
-    pub(crate) fn head(&self) -> Option<ids::Job> {
-        self.fresh.head().or_else(|| self.late.head())
+impl Queue {
+    pub(crate) fn peek(&self) -> Option<ids::Job> {
+        self.on_time.peek().or_else(|| self.late.peek())
     }
 
     pub(crate) fn len(&self) -> usize {
-        self.fresh.len() + self.late.len()
+        self.on_time.len() + self.late.len()
     }
 
     pub(crate) fn tokens(&self) -> u64 {
-        self.fresh.tokens() + self.late.tokens()
+        self.on_time.tokens() + self.late.tokens()
     }
 
-    pub(crate) fn band(&mut self, late: bool) -> &mut Band {
-        if late { &mut self.late } else { &mut self.fresh }
+    pub(crate) fn lanes_mut(&mut self, late: bool) -> &mut Lanes {
+        if late { &mut self.late } else { &mut self.on_time }
     }
 }
 
@@ -65,17 +65,17 @@
     pub(crate) members: Vec<Member>,
     pub(crate) isolation: Isolation,
     /// By tier, then class.
-    pub(crate) lines: Vec<Line>,
+    pub(crate) queues: Vec<Queue>,
     /// Epoch in which none of its servers had a place for this node.
-    pub(crate) full: u64,
+    pub(crate) full_epoch: u64,
     /// Requests that refer to it.
     pub(crate) jobs: usize,
     /// Tokens a second that this node may expect of it.
-    pub(crate) rate: f64,
+    pub(crate) token_rate: f64,
     /// Median seconds between tokens.
-    pub(crate) interval: f64,
+    pub(crate) token_interval: f64,
     /// Median seconds to the first token once sent.
-    pub(crate) first: f64,
+    pub(crate) first_token_time: f64,
 }
 
 impl Pool {
@@ -86,34 +86,36 @@
             servers: vec![],
             members: vec![],
             isolation: Isolation::default(),
-            lines: vec![],
-            full: 0,
+            queues: vec![],
+            full_epoch: 0,
             jobs: 0,
-            rate: 0.0,
-            interval: crate::server::DEFAULT_TOKEN_SECONDS,
-            first: crate::server::DEFAULT_FIRST_TOKEN_SECONDS,
+            token_rate: 0.0,
+            token_interval: crate::server::DEFAULT_TOKEN_SECONDS,
+            first_token_time: crate::server::DEFAULT_FIRST_TOKEN_SECONDS,
         }
     }
 
     /// The line of a class, made if need be.
-    pub(crate) fn line(&mut self, tier: u8, class: ids::Class) -> &mut Line {
-        let found = self.lines.binary_search_by_key(&(tier, class), |l| (l.tier, l.class));
+    pub(crate) fn queue_mut(&mut self, tier: u8, class: ids::Class) -> &mut Queue {
+        let found = self.queues.binary_search_by_key(&(tier, class), |l| (l.tier, l.class));
         let index = found.unwrap_or_else(|index| {
-            let (fresh, late, flow) = (Band::default(), Band::default(), Flow::default());
-            let line = Line { class, tier, fresh, late, flow, blocked: 0, floor: 0 };
-            self.lines.insert(index, line);
+            let (on_time, late, throughput) =
+                (Lanes::default(), Lanes::default(), Throughput::default());
+            let line =
+                Queue { class, tier, on_time, late, throughput, blocked_epoch: 0, last_counter: 0 };
+            self.queues.insert(index, line);
             index
         });
-        &mut self.lines[index]
+        &mut self.queues[index]
     }
 
     /// Requests that wait.
     pub(crate) fn waiting(&self) -> usize {
-        self.lines.iter().map(Line::len).sum()
+        self.queues.iter().map(Queue::len).sum()
     }
 
     /// Seconds from being sent to the end, for an answer of so many tokens.
-    pub(crate) fn service(&self, tokens: u32) -> f64 {
-        self.first + self.interval * f64::from(tokens)
+    pub(crate) fn service_seconds(&self, tokens: u32) -> f64 {
+        self.first_token_time + self.token_interval * f64::from(tokens)
     }
 }
--- a/components/policy/src/queue.rs
+++ b/components/policy/src/queue.rs
@@ -16,7 +16,7 @@
 
 /// Lanes, and the orders in which they are served and given up.
 #[derive(Debug, Default)]
-pub(crate) struct Band {
+pub(crate) struct Lanes {
     /// Lanes that may be served, by counter.
     order: BTreeSet<(u64, ids::Workspace)>,
     /// All lanes, by requests.
@@ -35,7 +35,7 @@
     pub(crate) tokens: u32,
 }
 
-impl Band {
+impl Lanes {
     pub(crate) fn len(&self) -> usize {
         self.count
     }
@@ -45,7 +45,7 @@
     }
 
     /// Lowest counter among the lanes that may be served.
-    pub(crate) fn floor(&self) -> Option<u64> {
+    pub(crate) fn lowest_counter(&self) -> Option<u64> {
         self.order.first().map(|(counter, _)| *counter)
     }
 
@@ -86,34 +86,34 @@
     }
 
     /// The request whose turn it is.
-    pub(crate) fn head(&self) -> Option<ids::Job> {
+    pub(crate) fn peek(&self) -> Option<ids::Job> {
         let (_, workspace) = self.order.first()?;
         self.lanes[workspace].jobs.first().map(|(_, job)| *job)
     }
 
     /// The oldest request of the lane that has its turn last.
-    pub(crate) fn tail(&self) -> Option<ids::Job> {
+    pub(crate) fn victim(&self) -> Option<ids::Job> {
         let (_, workspace) = self.longest.last()?;
         self.lanes[workspace].jobs.last().map(|(_, job)| *job)
     }
 
     /// Length of the longest lane.
-    pub(crate) fn longest(&self) -> usize {
+    pub(crate) fn longest_lane(&self) -> usize {
         self.longest.last().map_or(0, |(length, _)| *length)
     }
 
     /// Requests and tokens of one workspace.
-    pub(crate) fn lane(&self, workspace: ids::Workspace) -> (usize, u64) {
+    pub(crate) fn lane_size(&self, workspace: ids::Workspace) -> (usize, u64) {
         self.lanes.get(&workspace).map_or((0, 0), |lane| (lane.jobs.len(), lane.tokens))
     }
 
     /// Number of lanes.
-    pub(crate) fn lanes(&self) -> usize {
+    pub(crate) fn lane_count(&self) -> usize {
         self.lanes.len()
     }
 
     /// Puts a lane where its new counter belongs.
-    pub(crate) fn rekey(&mut self, workspace: ids::Workspace, counter: u64) {
+    pub(crate) fn set_counter(&mut self, workspace: ids::Workspace, counter: u64) {
         let Some(lane) = self.lanes.get_mut(&workspace) else { return };
         if self.order.remove(&(lane.counter, workspace)) {
             self.order.insert((counter, workspace));
--- a/components/policy/src/quota.rs
+++ b/components/policy/src/quota.rs
@@ -23,7 +23,7 @@
     pub fn waits_by_model(&self) -> Vec<Wait> {
         let mut waits: Vec<Wait> = vec![];
         for pool in self.pools.values() {
-            for line in pool.lines.iter().filter(|line| line.len() > 0) {
+            for line in pool.queues.iter().filter(|line| line.len() > 0) {
                 let (model, tier, count) = (pool.model, line.tier, line.len() as u32);
                 match waits.iter_mut().find(|wait| wait.model == model && wait.tier == tier) {
                     Some(wait) => wait.count += count,
--- a/components/policy/src/scheduler.rs
+++ b/components/policy/src/scheduler.rs
@@ -10,7 +10,7 @@
 use crate::action::{Action, Ending, Policy, Refusal};
 use crate::bucket::Bucket;
 use crate::cache;
-use crate::fair::{self, Fair};
+use crate::fair::{self, Counters};
 use crate::isolation::GROUPS;
 use crate::length::Lengths;
 use crate::mechanism::{Disabled, Mechanism};
@@ -48,7 +48,7 @@
     pub(crate) index: HashMap<(ids::Model, Vec<ids::Server>), Key>,
     pub(crate) turns: SecondaryMap<ids::Class, Turn>,
     pub(crate) in_flight: SecondaryMap<ids::Workspace, u32>,
-    pub(crate) fair: Fair,
+    pub(crate) fair: Counters,
     pub(crate) lengths: Lengths,
     /// By what is asked for: retries at one service must not be paid for by work at another.
     pub(crate) retries: SecondaryMap<ids::Model, Bucket>,
@@ -111,7 +111,7 @@
             index: HashMap::new(),
             turns: SecondaryMap::new(),
             in_flight: SecondaryMap::new(),
-            fair: Fair::default(),
+            fair: Counters::default(),
             lengths: Lengths::default(),
             retries: SecondaryMap::new(),
             link: Bucket::new(0.0),
@@ -158,7 +158,7 @@
         if limits.retry_burst != self.limits.retry_burst {
             self.retries.clear();
         }
-        if limits != self.limits || self.link.part() == 0.0 {
+        if limits != self.limits || self.link.fill_ratio() == 0.0 {
             self.link = Bucket::new(limits.link_bytes as f64 * LINK_SECONDS);
         }
         self.limits = limits;
@@ -350,11 +350,11 @@
         let class_weight = self.classes.get(class).map_or(1, |class| class.weight);
         let weight = self.workspaces.get(workspace).map_or(1, |w| w.weight);
         self.fair.charge((class, class_weight), (workspace, weight), tokens);
-        let counter = self.fair.workspace(class, workspace);
-        for line in self.pools.values_mut().flat_map(|pool| &mut pool.lines) {
+        let counter = self.fair.workspace_counter(class, workspace);
+        for line in self.pools.values_mut().flat_map(|pool| &mut pool.queues) {
             if line.class == class {
-                line.fresh.rekey(workspace, counter);
-                line.late.rekey(workspace, counter);
+                line.on_time.set_counter(workspace, counter);
+                line.late.set_counter(workspace, counter);
             }
         }
     }
@@ -370,8 +370,8 @@
         if lane != workspace {
             return;
         }
-        for line in self.pools.values_mut().flat_map(|pool| &mut pool.lines) {
-            line.fresh.set_open(workspace, open);
+        for line in self.pools.values_mut().flat_map(|pool| &mut pool.queues) {
+            line.on_time.set_open(workspace, open);
             line.late.set_open(workspace, open);
         }
     }
@@ -453,7 +453,7 @@
         let (class, workspace, sent) =
             (pending.request.class, pending.request.workspace, pending.sent_at);
         if let Some(known) = self.servers.get_mut(server) {
-            known.health.good();
+            known.health.record_response();
             match last {
                 None => {
                     let took = now.saturating_duration_since(sent);
--- a/components/policy/src/server.rs
+++ b/components/policy/src/server.rs
@@ -96,7 +96,11 @@
     }
 
     fn limit_of(&self, places: u32, without: Disabled) -> u32 {
-        if without.lacks(Mechanism::AdaptiveLimit) { self.limit.of(places) } else { places }
+        if without.lacks(Mechanism::AdaptiveLimit) {
+            self.limit.usable_slots(places)
+        } else {
+            places
+        }
     }
 
     /// Whether this node may send it one more.
--- a/components/policy/src/status.rs
+++ b/components/policy/src/status.rs
@@ -67,7 +67,7 @@
     pub fn status(&self, server: ids::Server, now: Instant) -> Option<Status> {
         let known = self.servers.get(server)?;
         let pools = self.pools.values().filter(|pool| pool.servers.contains(&server));
-        let usual = pools.map(|pool| pool.interval).reduce(f64::max);
+        let usual = pools.map(|pool| pool.token_interval).reduce(f64::max);
         let unused = if known.leaving() {
             Some(Unused::Leaving)
         } else if self.is_ejected(server, now) {
--- a/components/policy/src/stop.rs
+++ b/components/policy/src/stop.rs
@@ -66,19 +66,19 @@
         let class = self.classes.get(pending.request.class)?;
         let waited = now.saturating_duration_since(pending.sent_at);
         let stuck = pending.produced == 0 && waited >= class.first_token.mul_f64(STUCK);
-        let met = self.left(pending, now) > self.pools[pending.pool].first;
+        let met = self.left(pending, now) > self.pools[pending.pool].first_token_time;
         (stuck && met).then_some((server, pending.pool, pending.tier))
     }
 
     fn stoppable(&self, key: Key, now: Instant) -> Option<ids::Job> {
-        let line = self.pools[key].lines.iter().find(|line| line.fresh.head().is_some())?;
-        let pending = &self.jobs[line.fresh.head()?];
+        let line = self.pools[key].queues.iter().find(|line| line.on_time.peek().is_some())?;
+        let pending = &self.jobs[line.on_time.peek()?];
         if !self.in_danger(pending, now) {
             return None;
         }
         let (best, stopping) = self.victim_at(key, pending.tier, None, now);
         // One stop for each request that waits at most.
-        best.filter(|_| stopping < line.fresh.len())
+        best.filter(|_| stopping < line.on_time.len())
     }
 
     /// The stream of a tier below `tier` that costs least to stop, at one server or any of a pool;
@@ -127,7 +127,7 @@
         let Some(class) = self.classes.get(pending.request.class) else { return false };
         let waited = now.saturating_duration_since(pending.request.arrived);
         let late = waited >= class.first_token.mul_f64(DANGER);
-        late && self.left(pending, now) > self.pools[pending.pool].first
+        late && self.left(pending, now) > self.pools[pending.pool].first_token_time
     }
 
     /// Whether a server has no place left for this node, as far as can be told.
@@ -140,11 +140,11 @@
     fn bears(&self, pending: &Pending, server: ids::Server, now: Instant) -> bool {
         let known = self.servers.get(server);
         // A place at a straggler buys no target.
-        let pace = self.pools[pending.pool].interval * STRAGGLER;
+        let pace = self.pools[pending.pool].token_interval * STRAGGLER;
         let buys =
             |known: &server::State| known.token_interval() <= pace && self.filled(known, now);
         let left = pending.request.deadline.saturating_duration_since(now).as_secs_f64();
-        let needed = self.pools[pending.pool].service(self.rest(pending, 0.5)) * SLACK;
+        let needed = self.pools[pending.pool].service_seconds(self.rest(pending, 0.5)) * SLACK;
         // What a class gets once in its longest wait is an answer, not the start of one.
         let spare =
             !pending.stopping && !pending.ahead_of_turn && pending.stops < STOPS && needed < left;
