--- a/components/policy/src/lib.rs
+++ b/components/policy/src/lib.rs
@@ -7,7 +7,6 @@
 mod admit;
 mod attempt;
 mod backlog;
-
 mod bucket;
 mod cache;
 mod dispatch;
--- a/components/policy/src/server.rs
+++ b/components/policy/src/server.rs
@@ -1,6 +1,6 @@
 //! The state of one backend server: its terms, its reports, and what was sent to it.
 //!
-//! Pattern: reports that lag. Disabled the correction every node sends to the server that looked
+//! Pattern: reports that lag. Without the correction every node sends to the server that looked
 //! idle a while ago, all at once.
 
 use std::collections::VecDeque;
@@ -96,7 +96,11 @@
     }
 
     fn limit_of(&self, places: u32, without: Disabled) -> u32 {
-        if without.lacks(Mechanism::AdaptiveLimit) { self.limit.of(places) } else { places }
+        if without.lacks(Mechanism::AdaptiveLimit) {
+            self.limit.usable_slots(places)
+        } else {
+            places
+        }
     }
 
     /// Whether this node may send it one more.
