--- a/components/policy/src/action.rs
+++ b/components/policy/src/action.rs
@@ -1,17 +1,17 @@
-//! The interface between the decisions and whoever drives them.
+//! Defines the interface between the scheduler and the code that drives it.
 
 use std::time::{Duration, Instant};
 
 use crate::terms::{Demand, Report, Request, Share};
 
 derives::value! {
-    /// Why a request is refused. All of them mean that nothing ran.
+    /// Why a request is refused. Every refusal tells the caller that nothing ran.
     pub enum Refusal {
-        /// Nothing lower is held and there is no room.
+        /// The queue is full and no request of a lower tier can be displaced.
         Full,
-        /// Given up for a request of a higher tier.
+        /// Displaced from the queue by a request of a higher tier, or of a workspace that waits with fewer.
         Displaced,
-        /// It can't be served while of use.
+        /// It can't be served before its deadline.
         Late,
         /// No backend server may take it.
         NoServer,
@@ -21,20 +21,21 @@
 
     /// How an attempt ended.
     pub enum Ending {
-        /// The whole answer came.
+        /// The complete answer arrived.
         Completed,
-        /// Provably nothing ran: no connection, or the server said so.
+        /// The request certainly didn't run: the connection failed, or the server said so.
         NotRun,
-        /// It never reached the server, so it cost nobody anything: no attempt is counted, and no
-        /// retry is spent.
+        /// The request never reached the server. It cost no server anything, so it counts neither as an
+        /// attempt nor against the retry budget.
         Unreached,
-        /// It may have run and the answer isn't whole.
+        /// It may have run, and the answer is missing or incomplete.
         Failed,
-        /// It ran, and the server said that it failed. What is wrong may be the request.
+        /// It ran and the server reported an error. The request itself may be the cause, so this raises the
+        /// server's failure rate but doesn't eject it.
         ServerError,
-        /// The caller went away.
+        /// The caller disconnected.
         Cancelled,
-        /// Stopped as [`Action::Stop`] asked; what was produced is kept.
+        /// Stopped as requested by [`Action::Stop`]; the tokens produced so far are kept.
         Stopped,
     }
 
@@ -42,49 +43,52 @@
     pub enum Action {
         /// Send the job to the server.
         Send {
-            /// The job.
+            /// The job to send.
             job: ids::Job,
-            /// Where it goes.
+            /// The server to send it to.
             server: ids::Server,
         },
-        /// Tell the caller that nothing ran. The job is forgotten.
+        /// Tell the caller that the request was refused and nothing ran. The scheduler no longer knows
+        /// the job.
         Refuse {
-            /// The job.
+            /// The refused job.
             job: ids::Job,
-            /// Why.
+            /// The reason for the refusal.
             refusal: Refusal,
-            /// When it is worth trying again.
+            /// Time after which a retry by the caller has a chance.
             retry_after: Duration,
         },
-        /// Stop the attempt of a job that was sent, for the sake of a higher tier; it waits again
-        /// and goes on elsewhere with what was produced. Answered by [`Policy::attempt_ended`] with
-        /// [`Ending::Stopped`].
+        /// Stop the attempt of a job that was sent, to free its slot for a higher tier. The driver
+        /// answers with [`Policy::attempt_ended`] and [`Ending::Stopped`]; the job is queued again and
+        /// resumes elsewhere with the tokens produced so far.
         Stop {
-            /// The job.
+            /// The job to stop.
             job: ids::Job,
         },
     }
 }
 
-/// Decisions as their driver calls them. Time only moves through the `now` arguments.
+/// A scheduler as its driver calls it. Time only advances through the `now` arguments.
 pub trait Policy {
-    /// Takes a request in; what becomes of it follows from [`Policy::poll`].
+    /// Accepts a request for scheduling; [`Policy::poll`] returns what to do with it.
     fn submit(&mut self, request: Request, now: Instant) -> ids::Job;
-    /// Appends what is to be done now.
+    /// Appends the actions that are due now.
     fn poll(&mut self, now: Instant, actions: &mut Vec<Action>);
-    /// When [`Policy::poll`] is next due though nothing else happens.
+    /// When [`Policy::poll`] must be called next if no other event occurs before.
     fn next_due(&self) -> Option<Instant>;
-    /// Tokens of a sent job came; the first call tells of the first token.
+    /// Records that tokens of a sent job arrived; the first call marks its first token.
     fn record_tokens(&mut self, job: ids::Job, count: u32, now: Instant);
-    /// The attempt ended. Returns whether the job waits again; if not, it is forgotten.
+    /// Records the end of an attempt. Returns whether the job is queued again; if not, the scheduler no
+    /// longer knows it.
     fn attempt_ended(&mut self, job: ids::Job, ending: Ending, now: Instant) -> bool;
-    /// The caller of a job that waits went away.
+    /// Removes a waiting job whose caller disconnected.
     fn withdraw(&mut self, job: ids::Job, now: Instant);
-    /// A load report came.
+    /// Records a load report of a server.
     fn record_report(&mut self, server: ids::Server, report: Report, now: Instant);
-    /// What this node may put on a server changed.
+    /// Sets this node's share of a server.
     fn set_share(&mut self, server: ids::Server, share: Share, now: Instant);
-    /// Work by class, for peers to divide places by. Ways that don't share tell nothing.
+    /// Demand by class, by which peers divide slots among nodes. Empty for policies that don't share
+    /// slots.
     fn demand(&self) -> Vec<Demand> {
         vec![]
     }
--- a/components/policy/src/admit.rs
+++ b/components/policy/src/admit.rs
@@ -1,12 +1,13 @@
-//! Whom there is room for.
+//! Admits requests to the queue, displaces others when it is full, and refuses those that would be late.
 //!
-//! Pattern: overload in all tiers. With one bounded queue in order of arrival, requests of high
-//! tiers are turned away for those of low ones that came before; with an unbounded one, all wait
-//! until they are of no use.
+//! Load pattern: overload in all tiers. A bounded first-come-first-served queue refuses requests of high
+//! tiers because requests of low tiers arrived earlier; in an unbounded one, all requests wait until
+//! their answers are useless.
 //!
-//! A request that finds the queue full takes the place of one of the lowest tier held, the one
-//! that is latest to make its target; within its own tier, of the workspace that holds most. It is
-//! refused only if neither stands below it. One that can't be served in time is refused at once.
+//! A request that finds the queue full displaces one of the lowest tier, first one that has missed its
+//! first-token target, else one of the workspace with the most requests in the queue. Within its own
+//! tier it displaces one of that workspace too, if it has fewer itself. It is refused if there is no
+//! such request. A request that can't be served in time is refused at once.
 
 use std::time::{Duration, Instant};
 
@@ -18,36 +19,36 @@
 use crate::scheduler::Scheduler;
 use crate::terms::Request;
 
-/// Told to a caller for whom there is no server at all: settings change within seconds.
-const NO_SERVER: Duration = Duration::from_secs(1);
-/// A victim of its own tier must come from a lane this much longer, so that two workspaces don't
-/// displace each other in turn.
-const LONGER: usize = 1;
+/// Retry delay for a request that no server may take: new settings arrive within seconds.
+const NO_SERVER_RETRY_AFTER: Duration = Duration::from_secs(1);
+/// A request displaces another of its own tier only from a lane that is longer than its own by more than
+/// this, so that two workspaces don't displace each other in turn.
+const MIN_LANE_EXCESS: usize = 1;
 
-/// Times that the usual way to a first token must fit into what is left of its target: prompts
-/// differ in length by about as much.
-const READING: f64 = 2.0;
+/// A request counts as late once less than this many times the median time to a first token is left of
+/// its target. The margin is about the spread of prompt lengths.
+const FIRST_TOKEN_MARGIN: f64 = 2.0;
 
-/// Quantile of an answer's length that must fit before its deadline when it is sent. What waits
-/// longest is sent first, so in overload all that is sent is as late as may be: at the median half
-/// of it would be wasted.
-pub(crate) const SURE: f64 = 0.8;
-/// A request is given up early only if its forecast is this much over what it can bear. A forecast
-/// that is too long costs an answer, one that is too short only the caller's time.
-pub(crate) const CONFIDENT: f64 = 2.5;
+/// Quantile of the answer length that must fit before the deadline when a request is sent. In overload
+/// requests are sent about as late as this allows, since the longest waiting go first; at the median,
+/// half of them would miss their deadline.
+pub(crate) const LENGTH_QUANTILE: f64 = 0.8;
+/// A request is refused early only if its forecast wait is this many times the time it has left. A
+/// forecast that is too long costs an answer; one that is too short costs only the caller's time.
+pub(crate) const FORECAST_MARGIN: f64 = 2.5;
 
 impl Scheduler {
-    /// Takes a request in: it waits, or it is noted as refused.
+    /// Adds a request: puts it into its queue, or records its refusal.
     pub(crate) fn admit(&mut self, request: Request, now: Instant) -> ids::Job {
         let (class, workspace) = (request.class, request.workspace);
         let terms = self.classes.get(class);
         let tier = terms.map_or(u8::MAX, |class| class.tier);
         let priority = terms.map_or(u8::MAX, |class| class.priority);
-        let pool = self.pool(&request, now);
+        let pool = self.pool_for(&request, now);
         let jitter = self.jitter.next();
         self.pools[pool].jobs += 1;
-        if let Some(turn) = self.turns.get_mut(class) {
-            turn.since.get_or_insert(now);
+        if let Some(unserved) = self.unserved.get_mut(class) {
+            unserved.since.get_or_insert(now);
         }
         let pending = Pending {
             latest_send: request.deadline,
@@ -56,7 +57,7 @@
             priority,
             jitter,
             pool,
-            stage: Stage::Over,
+            stage: Stage::Unqueued,
             attempts: 0,
             stops: 0,
             stopping: false,
@@ -73,82 +74,91 @@
             last_token: None,
         };
         let job = self.jobs.insert(pending);
-        self.ticked.get_or_insert(now);
-        let known = self.classes.contains_key(class) && self.workspaces.contains_key(workspace);
-        if !known || !self.staffed(pool) {
-            self.refused.push((job, Refusal::NoServer, NO_SERVER));
+        self.last_tick.get_or_insert(now);
+        let configured =
+            self.classes.contains_key(class) && self.workspaces.contains_key(workspace);
+        if !configured || !self.has_open_server(pool) {
+            self.refused.push((job, Refusal::NoServer, NO_SERVER_RETRY_AFTER));
             return job;
         }
-        self.estimate(job);
-        if let Some(again) = self.hopeless(job, now) {
-            self.refused.push((job, Refusal::Late, again));
+        self.update_estimates(job);
+        if let Some(retry_after) = self.late_retry_after(job, now) {
+            self.refused.push((job, Refusal::Late, retry_after));
         } else if self.make_room(job, now) {
             self.enqueue(job, now);
         } else {
-            let again = self.again_after(job, now);
-            self.refused.push((job, Refusal::Full, again));
+            let retry_after = self.retry_after(job, now);
+            self.refused.push((job, Refusal::Full, retry_after));
         }
         job
     }
 
     /// Whether any server of a pool takes new work.
-    pub(crate) fn staffed(&self, pool: Key) -> bool {
+    pub(crate) fn has_open_server(&self, pool: Key) -> bool {
         self.pools[pool].servers.iter().any(|key| !self.servers[*key].leaving())
     }
 
-    /// Tokens that an answer will still take, at a quantile.
-    pub(crate) fn rest(&self, pending: &Pending, part: f64) -> u32 {
+    /// Tokens still to come of an answer, at a quantile of the length estimate.
+    pub(crate) fn remaining_tokens(&self, pending: &Pending, quantile: f64) -> u32 {
         let request = &pending.request;
-        let most = request.max_tokens.unwrap_or(u32::MAX).saturating_sub(pending.produced).max(1);
+        let limit = request.max_tokens.unwrap_or(u32::MAX).saturating_sub(pending.produced).max(1);
         if !self.disabled.lacks(Mechanism::LengthEstimates) {
-            return 128.min(most);
+            return 128.min(limit);
         }
         let (class, workspace) = (request.class, request.workspace);
-        self.lengths.rest(class, workspace, pending.produced, part).min(most)
+        self.lengths.rest(class, workspace, pending.produced, quantile).min(limit)
     }
 
-    /// Works out what a request stands for while it waits, and when it is too late to send it.
-    fn estimate(&mut self, job: ids::Job) {
+    /// Updates a request's estimated tokens, and the latest time at which it can be sent.
+    fn update_estimates(&mut self, job: ids::Job) {
         let pending = &self.jobs[job];
-        let rest = self.rest(pending, 0.5);
-        let time = self.pools[pending.pool].service(self.rest(pending, SURE));
+        let tokens = self.remaining_tokens(pending, 0.5);
+        let service =
+            self.pools[pending.pool].service(self.remaining_tokens(pending, LENGTH_QUANTILE));
         let fit = self.disabled.lacks(Mechanism::DeadlineFit);
         let pending = &mut self.jobs[job];
-        pending.tokens = rest;
+        pending.tokens = tokens;
         let deadline = pending.request.deadline;
-        let call = deadline.checked_sub(Duration::from_secs_f64(time.min(3_600.0)));
-        pending.latest_send = call.filter(|_| fit).unwrap_or(deadline);
+        let latest = deadline.checked_sub(Duration::from_secs_f64(service.min(3_600.0)));
+        pending.latest_send = latest.filter(|_| fit).unwrap_or(deadline);
     }
 
     /// Puts a request into its queue.
     pub(crate) fn enqueue(&mut self, job: ids::Job, now: Instant) {
-        self.estimate(job);
+        self.update_estimates(job);
         let pending = &self.jobs[job];
         let (class, workspace) = (pending.request.class, pending.request.workspace);
         let (tier, pool) = (pending.tier, pending.pool);
-        let begun = pending.produced > 0;
+        let has_tokens = pending.produced > 0;
         let target = self.classes.get(class).map_or(Duration::ZERO, |class| class.first_token);
-        let reading = Duration::from_secs_f64(self.pools[pool].first * READING);
-        let late_at = pending.request.arrived + target.saturating_sub(reading);
-        let late = !begun && late_at <= now && self.disabled.lacks(Mechanism::Yielding);
-        let lane = self.lane(workspace);
-        let counter = self.lift(pool, tier, class, lane);
-        let open = self.open(workspace);
-        let entry = self.jobs[job].entry(job, lane);
+        let margin = Duration::from_secs_f64(self.pools[pool].first * FIRST_TOKEN_MARGIN);
+        let late_at = pending.request.arrived + target.saturating_sub(margin);
+        let late = !has_tokens && late_at <= now && self.disabled.lacks(Mechanism::Yielding);
+        let lane = self.lane_key(workspace);
+        let counter = self.raise_counters(pool, tier, class, lane);
+        let open = self.has_in_flight_room(workspace);
+        let entry = self.jobs[job].queue_entry(job, lane);
         let line = self.pools[pool].line(tier, class);
         line.band(late).push(entry, counter, open);
         line.blocked = 0;
         let pending = &mut self.jobs[job];
         pending.stage = Stage::Waiting { late };
-        let yields = !late && !begun && self.disabled.lacks(Mechanism::Yielding);
+        let yields = !late && !has_tokens && self.disabled.lacks(Mechanism::Yielding);
         let timer = if yields { late_at.min(pending.latest_send) } else { pending.latest_send };
         pending.timer = Some(timer);
         self.timers.insert((timer, job));
         self.waiting += 1;
     }
 
-    /// Brings counters of a class and a lane that were idle up to those that weren't.
-    fn lift(&mut self, pool: Key, tier: u8, class: ids::Class, lane: ids::Workspace) -> u64 {
+    /// Raises the fairness counters of a class and a lane that were idle to the lowest of those that
+    /// weren't; returns the lane's counter.
+    fn raise_counters(
+        &mut self,
+        pool: Key,
+        tier: u8,
+        class: ids::Class,
+        lane: ids::Workspace,
+    ) -> u64 {
         if !self.disabled.lacks(Mechanism::Fairness) {
             return 0;
         }
@@ -157,8 +167,8 @@
             lines.filter(|line| line.class == class).any(|line| line.len() > 0)
         };
         if !busy(class) {
-            let others = self.pools.values().flat_map(|pool| &pool.lines);
-            let others = others.filter(|line| line.tier == tier && line.len() > 0);
+            let other_lines = self.pools.values().flat_map(|pool| &pool.lines);
+            let others = other_lines.filter(|line| line.tier == tier && line.len() > 0);
             let floor = others.map(|line| self.fair.class(line.class)).min().unwrap_or(0);
             self.fair.lift_class(class, floor);
         }
@@ -168,32 +178,33 @@
         self.fair.lift_workspace(class, lane, floor)
     }
 
-    /// Takes a request out of its queue, or out of its pause.
-    pub(crate) fn unqueue(&mut self, job: ids::Job) {
+    /// Removes a request from its queue or from its backoff.
+    pub(crate) fn dequeue(&mut self, job: ids::Job) {
         let Some(pending) = self.jobs.get_mut(job) else { return };
         if let Some(at) = pending.timer.take() {
             self.timers.remove(&(at, job));
         }
-        self.parked.remove(&(pending.tier, job));
+        self.backing_off.remove(&(pending.tier, job));
         let Stage::Waiting { late } = pending.stage else { return };
-        pending.stage = Stage::Over;
+        pending.stage = Stage::Unqueued;
         let pending = &self.jobs[job];
-        let entry = pending.entry(job, self.lane(pending.request.workspace));
+        let entry = pending.queue_entry(job, self.lane_key(pending.request.workspace));
         let (tier, class) = (pending.tier, pending.request.class);
         if self.pools[pending.pool].line(tier, class).band(late).remove(entry) {
             self.waiting -= 1;
         }
     }
 
-    /// Gives a request up and notes it to be told at once.
-    pub(crate) fn give_up(&mut self, job: ids::Job, refusal: Refusal, now: Instant) {
-        let again = self.again_after(job, now);
-        self.unqueue(job);
-        self.refused.push((job, refusal, again));
+    /// Refuses a waiting request; the next poll reports it to the driver.
+    pub(crate) fn refuse(&mut self, job: ids::Job, refusal: Refusal, now: Instant) {
+        let retry_after = self.retry_after(job, now);
+        self.dequeue(job);
+        self.refused.push((job, refusal, retry_after));
     }
 
-    /// Seconds until a request of a class and lane, put in its queue now, would be sent.
-    pub(crate) fn forecast(
+    /// Seconds until a request would be sent if it joined its queue now. With a lane, counts only the
+    /// tokens of its class that are served before that lane's turn; without one, the whole class.
+    pub(crate) fn forecast_wait(
         &self,
         pending: &Pending,
         lane: Option<ids::Workspace>,
@@ -201,19 +212,19 @@
     ) -> f64 {
         let pool = &self.pools[pending.pool];
         let mut ahead = 0;
-        let bearable = pending.latest_send.saturating_duration_since(now).as_secs_f64();
+        let left = pending.latest_send.saturating_duration_since(now).as_secs_f64();
         let (mut above, mut tokens_above, mut weights) = (0.0, 0, 0);
         let own = self.classes.get(pending.request.class).map_or(1, |class| class.weight);
         for line in &pool.lines {
             if line.tier < pending.tier {
-                above += line.flow.rate(bearable, now);
+                above += line.flow.rate(left, now);
                 tokens_above += line.tokens();
             } else if line.class == pending.request.class {
                 ahead = match lane {
                     Some(lane) => {
                         let (_, tokens) = line.fresh.lane(lane);
-                        let turns = line.fresh.lanes().max(1) as u64;
-                        line.fresh.tokens().min(turns * (tokens + u64::from(pending.tokens)))
+                        let lanes = line.fresh.lanes().max(1) as u64;
+                        line.fresh.tokens().min(lanes * (tokens + u64::from(pending.tokens)))
                     }
                     None => line.tokens(),
                 };
@@ -221,63 +232,66 @@
                 weights += self.classes.get(line.class).map_or(1, |class| class.weight);
             }
         }
-        let part = f64::from(own) / f64::from(own + weights);
+        let share = f64::from(own) / f64::from(own + weights);
         let higher = forecast::wait(tokens_above, pool.rate, 0.0);
-        higher + forecast::wait(ahead, pool.rate * part, above * part)
+        higher + forecast::wait(ahead, pool.rate * share, above * share)
     }
 
-    /// Whether the longest wait of its class brings a request its turn in time.
-    pub(crate) fn promised(&self, pending: &Pending) -> bool {
+    /// Whether a request will be sent in time because its class reaches its longest wait: it is the only
+    /// one of its class, and the longest wait ends before it must be sent.
+    pub(crate) fn served_by_longest_wait(&self, pending: &Pending) -> bool {
         if !self.disabled.lacks(Mechanism::LongestWait) {
             return false;
         }
         let class = pending.request.class;
         let lines = self.pools.values().flat_map(|pool| &pool.lines);
-        let alone = lines.filter(|line| line.class == class).map(|l| l.len()).sum::<usize>() <= 1;
-        let since = self.turns.get(class).and_then(|turn| turn.since);
+        let only_one =
+            lines.filter(|line| line.class == class).map(|l| l.len()).sum::<usize>() <= 1;
+        let since = self.unserved.get(class).and_then(|unserved| unserved.since);
         let longest = self.classes.get(class).map_or(Duration::MAX, |class| class.longest_wait);
-        alone && since.is_some_and(|since| since + longest <= pending.latest_send)
+        only_one && since.is_some_and(|since| since + longest <= pending.latest_send)
     }
 
-    /// When a request that can't be served in time had better be sent again.
-    fn hopeless(&self, job: ids::Job, now: Instant) -> Option<Duration> {
+    /// The retry delay for a request that can't be served in time; none if it can.
+    fn late_retry_after(&self, job: ids::Job, now: Instant) -> Option<Duration> {
         let pending = &self.jobs[job];
-        let early = self.disabled.lacks(Mechanism::EarlyRefusal);
-        let wait = self.forecast(pending, Some(self.lane(pending.request.workspace)), now);
-        let bearable = pending.latest_send.saturating_duration_since(now).as_secs_f64();
-        let over = wait > bearable * CONFIDENT && !self.promised(pending);
-        let late = bearable == 0.0 || (early && over);
-        late.then(|| self.again_after(job, now))
+        let early_refusal = self.disabled.lacks(Mechanism::EarlyRefusal);
+        let wait = self.forecast_wait(pending, Some(self.lane_key(pending.request.workspace)), now);
+        let left = pending.latest_send.saturating_duration_since(now).as_secs_f64();
+        let too_long = wait > left * FORECAST_MARGIN && !self.served_by_longest_wait(pending);
+        let late = left == 0.0 || (early_refusal && too_long);
+        late.then(|| self.retry_after(job, now))
     }
 
-    pub(crate) fn again_after(&self, job: ids::Job, now: Instant) -> Duration {
+    /// Time after which a refused caller should retry, spread at random by job.
+    pub(crate) fn retry_after(&self, job: ids::Job, now: Instant) -> Duration {
         let pending = &self.jobs[job];
-        let wait = self.forecast(pending, None, now);
-        let useful = pending.latest_send.saturating_duration_since(pending.request.arrived);
+        let wait = self.forecast_wait(pending, None, now);
+        let lifetime = pending.latest_send.saturating_duration_since(pending.request.arrived);
         let spread = crate::pick::mix64(slotmap::Key::data(&job).as_ffi()) as f64 / u64::MAX as f64;
-        forecast::again(wait, useful.as_secs_f64() / 2.0, spread)
+        forecast::again(wait, lifetime.as_secs_f64() / 2.0, spread)
     }
 
-    /// Makes room for a request if the queue is full; returns whether there is any.
+    /// Displaces another request if the queue is full; returns whether there is room.
     fn make_room(&mut self, job: ids::Job, now: Instant) -> bool {
         let pending = &self.jobs[job];
-        let room = self.classes.get(pending.request.class).map_or(0, |class| class.queue);
-        if self.waiting < room {
+        let limit = self.classes.get(pending.request.class).map_or(0, |class| class.queue);
+        if self.waiting < limit {
             return true;
         }
         let (tier, class, lane) = (pending.tier, pending.request.class, pending.request.workspace);
         let own = self.pools[pending.pool].line(tier, class).fresh.lane(lane).0;
-        let Some(victim) = self.victim(tier, own) else { return false };
-        self.give_up(victim, Refusal::Displaced, now);
+        let Some(victim) = self.displacement_victim(tier, own) else { return false };
+        self.refuse(victim, Refusal::Displaced, now);
         true
     }
 
-    /// The request to give up for one of `tier` whose own lane holds `own` requests.
-    fn victim(&self, tier: u8, own: usize) -> Option<ids::Job> {
+    /// The request to displace for one of `tier` whose own lane holds `own` requests.
+    fn displacement_victim(&self, tier: u8, own: usize) -> Option<ids::Job> {
         let lines = || self.pools.values().flat_map(|pool| &pool.lines).filter(|l| l.len() > 0);
         let lowest = lines().map(|line| line.tier).max()?;
-        if let Some((parked, job)) = self.parked.last()
-            && *parked > tier.max(lowest)
+        if let Some((backoff_tier, job)) = self.backing_off.last()
+            && *backoff_tier > tier.max(lowest)
         {
             return Some(*job);
         }
@@ -297,6 +311,6 @@
             return None;
         }
         let longest = bands().max_by_key(|band| band.longest())?;
-        if longest.longest() > own + LONGER { longest.tail() } else { None }
+        if longest.longest() > own + MIN_LANE_EXCESS { longest.tail() } else { None }
     }
 }
--- a/components/policy/src/attempt.rs
+++ b/components/policy/src/attempt.rs
@@ -1,8 +1,8 @@
-//! What becomes of a request when its attempt ends.
+//! Handles the end of an attempt: frees its slot, corrects its charge, and retries or removes the request.
 //!
-//! Pattern: servers that refuse connections or fail. Disabled a budget each request is tried as often
-//! as its class allows just when that can't help, and servers that come back meet the rush; without
-//! the check of idempotency a charge may run twice.
+//! Load pattern: servers that refuse connections or fail. Without a retry budget, each request is tried
+//! as often as its class allows while no server can answer it, and servers that recover are flooded
+//! with retries. Without the idempotency check, a charge may run twice.
 
 use std::time::{Duration, Instant};
 
@@ -14,18 +14,20 @@
 use crate::pending::Stage;
 use crate::scheduler::Scheduler;
 
-/// First pause before another attempt; doubled by each. A refused connection costs a millisecond,
-/// so the pause need only outlast what refused it in passing.
-const PAUSE: Duration = Duration::from_millis(25);
+/// Backoff before the second attempt, times a random factor from 0.5 to 1.5; doubles with each further
+/// attempt. A refused connection fails within a millisecond, so the backoff only has to outlast a brief
+/// cause of the refusal.
+const RETRY_BACKOFF: Duration = Duration::from_millis(25);
+
 impl Scheduler {
-    /// Takes in how an attempt ended; returns whether the request waits again.
-    pub(crate) fn conclude(&mut self, job: ids::Job, ending: Ending, now: Instant) -> bool {
+    /// Handles the end of an attempt; returns whether the request is queued again.
+    pub(crate) fn finish_attempt(&mut self, job: ids::Job, ending: Ending, now: Instant) -> bool {
         let Some(Stage::Sent(server)) = self.jobs.get(job).map(|pending| pending.stage) else {
             return false;
         };
-        self.release(job, server, ending, now);
-        if !self.again(job, ending, now) {
-            self.forget(job);
+        self.release_slot(job, server, ending, now);
+        if !self.claim_retry(job, ending, now) {
+            self.remove_job(job);
             return false;
         }
         let jitter: f64 = self.rng.random();
@@ -40,17 +42,17 @@
             pending.attempts -= 1;
         }
         let doublings = u32::from(pending.attempts.saturating_sub(1)).min(8);
-        let at = now + (PAUSE * (1 << doublings)).mul_f64(0.5 + jitter);
+        let at = now + (RETRY_BACKOFF * (1 << doublings)).mul_f64(0.5 + jitter);
         pending.avoid = Some(server);
-        pending.stage = Stage::Parked;
+        pending.stage = Stage::BackingOff;
         pending.timer = Some(at);
-        self.parked.insert((pending.tier, job));
+        self.backing_off.insert((pending.tier, job));
         self.timers.insert((at, job));
         true
     }
 
-    /// Whether a request whose attempt ended so is tried again.
-    fn again(&mut self, job: ids::Job, ending: Ending, now: Instant) -> bool {
+    /// Whether a request is tried again after its attempt ended; takes the retry from the budget.
+    fn claim_retry(&mut self, job: ids::Job, ending: Ending, now: Instant) -> bool {
         let pending = &self.jobs[job];
         let repeatable = match ending {
             Ending::Stopped => return true,
@@ -60,33 +62,35 @@
             Ending::Completed | Ending::Cancelled => false,
         };
         let model = pending.request.model;
-        let attempts = self.classes.get(pending.request.class).map_or(1, |class| class.attempts);
-        if !repeatable || pending.attempts >= attempts || now >= pending.latest_send {
+        let max_attempts =
+            self.classes.get(pending.request.class).map_or(1, |class| class.attempts);
+        if !repeatable || pending.attempts >= max_attempts || now >= pending.latest_send {
             return false;
         }
-        !self.disabled.lacks(Mechanism::RetryBudget) || self.retries(model).take(1.0)
+        !self.disabled.lacks(Mechanism::RetryBudget) || self.retry_budget(model).take(1.0)
     }
 
-    /// Takes the place of an ended attempt back and puts its charge right.
-    fn release(&mut self, job: ids::Job, server: ids::Server, ending: Ending, now: Instant) {
+    /// Frees the slot of an ended attempt, updates the server's health, and corrects the charge to the
+    /// tokens that were produced.
+    fn release_slot(&mut self, job: ids::Job, server: ids::Server, ending: Ending, now: Instant) {
         let jitter = self.rng.random();
-        let hung = ending == Ending::Cancelled && self.stalled(&self.jobs[job], server, now);
+        let stalled = ending == Ending::Cancelled && self.stalled(&self.jobs[job], server, now);
         let pending = &mut self.jobs[job];
-        let (urgency, reading) = (pending.priority, std::mem::take(&mut pending.prefill));
-        if let Some(known) = self.servers.get_mut(server) {
-            known.record_end(job, urgency, now);
-            if hung {
-                known.health.ended(false, now);
-                known.health.hung(self.jobs[job].sent_at, now, jitter);
+        let (priority, prefill) = (pending.priority, std::mem::take(&mut pending.prefill));
+        if let Some(state) = self.servers.get_mut(server) {
+            state.record_end(job, priority, now);
+            if stalled {
+                state.health.ended(false, now);
+                state.health.hung(self.jobs[job].sent_at, now, jitter);
             }
-            known.prefill.prompt_done(urgency, reading);
+            state.prefill.prompt_done(priority, prefill);
             if !matches!(ending, Ending::Cancelled | Ending::Stopped) {
-                known.health.ended(ending == Ending::Completed, now);
+                state.health.ended(ending == Ending::Completed, now);
             }
             match ending {
-                Ending::Completed => known.health.good(),
+                Ending::Completed => state.health.good(),
                 Ending::NotRun | Ending::Unreached | Ending::Failed => {
-                    known.health.failed(now, jitter);
+                    state.health.failed(now, jitter);
                 }
                 Ending::Cancelled | Ending::Stopped | Ending::ServerError => {}
             }
@@ -94,21 +98,21 @@
         let pending = &mut self.jobs[job];
         let (class, workspace) = (pending.request.class, pending.request.workspace);
         let used = fair::cost(pending.request.prompt_tokens, pending.produced);
-        let unrun = matches!(ending, Ending::NotRun | Ending::Unreached);
-        let used = if unrun { 0 } else { used };
+        let not_run = matches!(ending, Ending::NotRun | Ending::Unreached);
+        let used = if not_run { 0 } else { used };
         let change = i64::from(used) - i64::from(pending.charged);
         pending.charged = used;
         pending.stopping = false;
         pending.last_token = None;
         let produced = pending.produced;
-        self.charge(class, workspace, change);
+        self.charge_tokens(class, workspace, change);
         if ending == Ending::Completed && produced > 0 {
             self.lengths.add(class, workspace, produced);
         }
         if let Some(count) = self.in_flight.get_mut(workspace) {
             *count = count.saturating_sub(1);
         }
-        self.set_open(workspace);
+        self.update_lanes(workspace);
         self.epoch += 1;
     }
 }
--- a/components/policy/src/dispatch.rs
+++ b/components/policy/src/dispatch.rs
@@ -1,14 +1,15 @@
-//! Whose turn it is, and where it goes.
+//! Picks the next waiting request to send, and the server to send it to.
 //!
-//! Pattern: full servers. Classes stand in the order of their tiers, and within a tier by counters.
-//! A class that waited for its longest wait goes first, with one request: each class costs those
-//! above it at most one place in each longest wait and node.
+//! Load pattern: servers with all slots occupied. Classes are served in the order of their tiers, and
+//! within a tier by their fairness counters. A class that has gone unserved for its longest wait is
+//! served first, with one request, so each class takes at most one slot per longest wait and node from
+//! the classes above it.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
 use crate::action::{Action, Refusal};
-use crate::admit::{CONFIDENT, SURE};
+use crate::admit::{FORECAST_MARGIN, LENGTH_QUANTILE};
 use crate::fair;
 use crate::mechanism::Mechanism;
 use crate::pending::{Pending, Stage};
@@ -17,70 +18,74 @@
 use crate::scheduler::Scheduler;
 use crate::server::{self, DEFAULT_FIRST_TOKEN_SECONDS, DEFAULT_TOKEN_SECONDS};
 
-/// How often forecasts and what depends on time alone are looked at while requests wait: well under
-/// every first-token target, and a tenth of the time between reports.
+/// Interval at which forecasts and other time-dependent state are updated while the scheduler has
+/// requests: well under every first-token target, and a tenth of the interval between load reports.
 pub(crate) const TICK: Duration = Duration::from_millis(50);
-/// Requests of a line given up in one tick, so that no call takes long.
-const TRIM: usize = 64;
-/// Token interval against the pool's median that makes a straggler: batches differ by less.
-pub(crate) const STRAGGLER: f64 = 2.0;
-/// Quantile of the length that must fit at a straggler: its places are used, for what is safe there.
-const SAFE: f64 = 0.9;
-/// The link is crossed once this part of the first-token target was waited: a place nearby comes
-/// sooner unless the region is full, and the rest is enough for the crossing.
-const CROSS: f64 = 0.1;
-/// Part of the link's budget that each tier leaves to those above it.
-const LINK_STEP: f64 = 0.2;
-/// Bytes of a token of a prompt, and of an event that carries one of an answer.
-const PROMPT_BYTES: u32 = 4;
-const EVENT_BYTES: u32 = 200;
+/// Most requests of a line refused in one tick, so that no call takes long.
+const MAX_REFUSALS_PER_LINE: usize = 64;
+/// A server is a straggler if its token interval is more than this many times the median of its pool.
+/// Differences in batch size alone stay below it.
+pub(crate) const STRAGGLER_RATIO: f64 = 2.0;
+/// Quantile of the answer length that must fit before the deadline at a straggler. It is stricter than
+/// elsewhere, so a straggler's slots are used, but only by requests that will end in time.
+const STRAGGLER_LENGTH_QUANTILE: f64 = 0.9;
+/// Part of the first-token target that a request waits for a slot in its own region before it may cross
+/// the link. A local slot comes free within that time unless the region is full, and the rest of the
+/// target is enough for the crossing.
+const CROSSING_DELAY: f64 = 0.1;
+/// Part of the link budget reserved for each tier above that of a request.
+const LINK_RESERVE_PER_TIER: f64 = 0.2;
+/// Bytes sent over the link per prompt token, and per event with one answer token.
+const PROMPT_TOKEN_BYTES: u32 = 4;
+const ANSWER_TOKEN_BYTES: u32 = 200;
 
-/// Times its own time that a server which fails all requests seems to take: one that fails a tenth is
-/// passed over for any other whose load is usual.
-const FAULTY: f64 = 10.0;
-/// Tokens of a usual answer, for how soon a place comes free at a full server. Only its order of
-/// size matters: it must outweigh the differences between free servers.
-const USUAL: u32 = 100;
+/// The expected time at a server is multiplied by one plus this times its failure rate. A server that
+/// fails a tenth of its requests counts as twice as slow, so any other with ordinary load is preferred.
+const FAILURE_PENALTY: f64 = 10.0;
+/// Tokens of a typical answer, from which the wait for a slot at a full server is estimated. Only the
+/// order of magnitude matters: the wait must outweigh the differences between servers with free slots.
+const TYPICAL_ANSWER_TOKENS: u32 = 100;
 
-/// Where a request may go.
+/// The outcome of looking for a server for a request.
 enum Choice {
     Server(ids::Server),
-    /// Nothing for this request now.
+    /// No server can take this request now.
     Busy,
-    /// Nothing for any request now, unless it may go beyond this node's part.
+    /// No server has a free slot for this node, so only a request that may exceed its share can be sent.
     Full,
-    Nobody,
+    /// All servers are leaving, or there are none.
+    NoServer,
 }
 
-/// A line of a pool by its index, and whether it goes ahead of its turn.
-type Place = (Key, usize, bool);
+/// A line by its pool and index, and whether its class is served ahead of its turn.
+type LineChoice = (Key, usize, bool);
 
 impl Scheduler {
-    /// Looks at what depends on time alone, if it is time; returns whether it was.
-    pub(crate) fn tick(&mut self, now: Instant) -> bool {
-        if self.ticked.is_some_and(|at| now.saturating_duration_since(at) < TICK) {
+    /// Updates time-dependent state if a tick is due; returns whether it was.
+    pub(crate) fn run_tick(&mut self, now: Instant) -> bool {
+        if self.last_tick.is_some_and(|at| now.saturating_duration_since(at) < TICK) {
             return false;
         }
-        let last = self.ticked.replace(now).unwrap_or(now);
+        let last = self.last_tick.replace(now).unwrap_or(now);
         let lines = self.pools.values().flat_map(|pool| &pool.lines);
         let waiting = lines.map(|line| (line.class, line.len()));
-        let sent = self.servers.values().flat_map(|known| &known.jobs);
+        let sent = self.servers.values().flat_map(|state| &state.jobs);
         let sent = sent.filter_map(|job| self.jobs.get(*job)).map(|pending| pending.request.class);
-        self.needs.add(waiting, sent, now.saturating_duration_since(last));
+        self.demand.add_sample(waiting, sent, now.saturating_duration_since(last));
         self.epoch += 1;
-        self.link.flow(self.limits.link_bytes as f64, now);
+        self.link_budget.flow(self.limits.link_bytes as f64, now);
         for key in self.pools.keys().collect::<Vec<_>>() {
-            self.part(key, now);
-            self.measure(key);
+            self.update_isolation(key, now);
+            self.update_capacity(key);
             if self.disabled.lacks(Mechanism::EarlyRefusal) {
-                self.trim(key, now);
+                self.refuse_hopeless(key, now);
             }
         }
         true
     }
 
-    /// Works out which engines of a pool are for steady streams.
-    pub(crate) fn part(&mut self, key: Key, now: Instant) {
+    /// Updates the isolation groups of a pool's engines.
+    pub(crate) fn update_isolation(&mut self, key: Key, now: Instant) {
         let pool = &mut self.pools[key];
         let mut engines = HashMap::new();
         for member in &pool.members {
@@ -89,21 +94,21 @@
         pool.isolation.update_borders(&engines, now);
     }
 
-    /// Measures what a pool can do.
-    pub(crate) fn measure(&mut self, key: Key) {
+    /// Updates a pool's token rate, and its median times between tokens and to the first token.
+    pub(crate) fn update_capacity(&mut self, key: Key) {
         let waiting = |pool: Key| pool == key || self.pools[pool].waiting() > 0;
         let users: Vec<_> = self.pools.keys().filter(|pool| waiting(*pool)).collect();
         let (mut rate, mut intervals, mut firsts) = (0.0, vec![], vec![]);
         for server in &self.pools[key].servers {
-            let known = &self.servers[*server];
-            if known.leaving() {
+            let state = &self.servers[*server];
+            if state.leaving() {
                 continue;
             }
             let shared = users.iter().filter(|user| self.pools[**user].servers.contains(server));
-            let places = f64::from(known.node_slots(self.disabled));
-            rate += places / known.token_interval() / shared.count() as f64;
-            intervals.push(known.token_interval());
-            firsts.extend(known.first_token_time());
+            let node_slots = f64::from(state.node_slots(self.disabled));
+            rate += node_slots / state.token_interval() / shared.count() as f64;
+            intervals.push(state.token_interval());
+            firsts.extend(state.first_token_time());
         }
         let pool = &mut self.pools[key];
         pool.rate = rate;
@@ -111,59 +116,60 @@
         pool.first = median(&mut firsts).unwrap_or(DEFAULT_FIRST_TOKEN_SECONDS);
     }
 
-    /// Gives up what can't be served in time, from the end of each line.
-    fn trim(&mut self, key: Key, now: Instant) {
+    /// Refuses requests whose forecast wait is too long, from the end of each line.
+    fn refuse_hopeless(&mut self, key: Key, now: Instant) {
         for index in 0..self.pools[key].lines.len() {
-            for _ in 0..TRIM {
+            for _ in 0..MAX_REFUSALS_PER_LINE {
                 let line = &self.pools[key].lines[index];
                 let Some(job) = line.late.tail().or_else(|| line.fresh.tail()) else { break };
                 let pending = &self.jobs[job];
-                let wait = self.forecast(pending, None, now);
-                let bearable = pending.latest_send.saturating_duration_since(now).as_secs_f64();
-                if wait <= bearable * CONFIDENT || self.promised(pending) {
+                let wait = self.forecast_wait(pending, None, now);
+                let left = pending.latest_send.saturating_duration_since(now).as_secs_f64();
+                if wait <= left * FORECAST_MARGIN || self.served_by_longest_wait(pending) {
                     break;
                 }
-                self.give_up(job, Refusal::Late, now);
+                self.refuse(job, Refusal::Late, now);
             }
         }
     }
 
-    /// Acts on timers that have come due.
-    pub(crate) fn expire(&mut self, now: Instant) {
+    /// Handles the timers that are due: ends backoffs, marks late requests, and refuses those that can no
+    /// longer be sent in time.
+    pub(crate) fn run_timers(&mut self, now: Instant) {
         while let Some((at, job)) = self.timers.first().copied().filter(|(at, _)| *at <= now) {
             self.timers.remove(&(at, job));
             let Some(pending) = self.jobs.get_mut(job) else { continue };
             pending.timer = None;
             match pending.stage {
-                Stage::Parked => {
-                    self.unqueue(job);
+                Stage::BackingOff => {
+                    self.dequeue(job);
                     self.enqueue(job, now);
                 }
                 Stage::Waiting { .. } if now >= pending.latest_send => {
-                    self.give_up(job, Refusal::Late, now);
+                    self.refuse(job, Refusal::Late, now);
                 }
                 Stage::Waiting { .. } => {
-                    self.unqueue(job);
+                    self.dequeue(job);
                     self.enqueue(job, now);
                 }
-                Stage::Sent(_) | Stage::Over => {}
+                Stage::Sent(_) | Stage::Unqueued => {}
             }
         }
     }
 
-    /// Sends what finds a place.
+    /// Sends waiting requests, in order, to servers that can take them.
     pub(crate) fn dispatch(&mut self, now: Instant, actions: &mut Vec<Action>) {
-        while let Some((pool, index, overdue)) = self.next(now) {
+        while let Some((pool, index, overdue)) = self.next_line(now) {
             let line = &mut self.pools[pool].lines[index];
             let Some(job) = line.head() else { break };
             line.blocked = self.epoch;
-            match self.choose(job, overdue, now) {
+            match self.choose_server(job, overdue, now) {
                 Choice::Busy => {}
                 Choice::Full => self.pools[pool].full = self.epoch,
-                Choice::Nobody => self.give_up(job, Refusal::NoServer, now),
+                Choice::NoServer => self.refuse(job, Refusal::NoServer, now),
                 Choice::Server(server) => {
                     self.jobs[job].ahead_of_turn |= overdue;
-                    self.send(job, server, now);
+                    self.send_to(job, server, now);
                     self.pools[pool].lines[index].blocked = 0;
                     actions.push(Action::Send { job, server });
                 }
@@ -171,37 +177,38 @@
         }
     }
 
-    /// The line whose turn it is among those that may find a place.
-    fn next(&self, now: Instant) -> Option<Place> {
-        let mut best: Option<((bool, u8, u64), Place)> = None;
+    /// The line to serve next, among those that may find a slot.
+    fn next_line(&self, now: Instant) -> Option<LineChoice> {
+        let mut best: Option<((bool, u8, u64), LineChoice)> = None;
         for (key, pool) in &self.pools {
             for (index, line) in pool.lines.iter().enumerate() {
-                let full = pool.full == self.epoch && line.tier != self.top;
+                let full = pool.full == self.epoch && line.tier != self.highest_tier;
                 if full || line.blocked == self.epoch || line.head().is_none() {
                     continue;
                 }
-                let overdue = self.overdue(line, now);
+                let overdue = self.is_overdue(line, now);
                 let order = (!overdue, line.tier, self.fair.class(line.class));
                 if best.as_ref().is_none_or(|(first, ..)| order < *first) {
                     best = Some((order, (key, index, overdue)));
                 }
             }
         }
-        best.map(|(_, place)| place)
+        best.map(|(_, choice)| choice)
     }
 
-    fn overdue(&self, line: &Line, now: Instant) -> bool {
+    /// Whether the class of a line has gone unserved for its longest wait.
+    fn is_overdue(&self, line: &Line, now: Instant) -> bool {
         if !self.disabled.lacks(Mechanism::LongestWait) {
             return false;
         }
-        let since = self.turns.get(line.class).and_then(|turn| turn.since);
+        let since = self.unserved.get(line.class).and_then(|unserved| unserved.since);
         let longest = self.classes.get(line.class).map(|class| class.longest_wait);
         since.zip(longest).is_some_and(|(since, longest)| now >= since + longest)
     }
 
-    fn choose(&mut self, job: ids::Job, overdue: bool, now: Instant) -> Choice {
-        if !self.staffed(self.jobs[job].pool) {
-            return Choice::Nobody;
+    fn choose_server(&mut self, job: ids::Job, overdue: bool, now: Instant) -> Choice {
+        if !self.has_open_server(self.jobs[job].pool) {
+            return Choice::NoServer;
         }
         if self.prefill_rates_known(&self.jobs[job]) {
             let (chosen, free) = self.select_engine(&self.jobs[job], now);
@@ -212,18 +219,18 @@
             return Choice::Server(chosen.server);
         }
         let mut candidates = std::mem::take(&mut self.scratch);
-        let (pending, without) = (&self.jobs[job], self.disabled);
-        let free = self.candidates(&mut candidates, pending, overdue, now);
-        let picked = pick::pick(&candidates, pending.request.prefix, &mut self.rng, without);
+        let (pending, disabled) = (&self.jobs[job], self.disabled);
+        let free = self.collect_candidates(&mut candidates, pending, overdue, now);
+        let picked = pick::pick(&candidates, pending.request.prefix, &mut self.rng, disabled);
         let choice = picked.map_or(if free { Choice::Busy } else { Choice::Full }, Choice::Server);
         candidates.clear();
         self.scratch = candidates;
         choice
     }
 
-    /// Servers that may take a request now: near ones, else far ones if the link may be used.
-    /// Returns whether any had a place.
-    fn candidates(
+    /// Collects the servers that can take a request now: those in its region, or else those in other
+    /// regions if it may cross the link. Returns whether any server had a free slot.
+    fn collect_candidates(
         &self,
         into: &mut Vec<Candidate>,
         pending: &Pending,
@@ -231,52 +238,58 @@
         now: Instant,
     ) -> bool {
         let pool = &self.pools[pending.pool];
-        let (rest, safe) = (self.rest(pending, SURE), self.rest(pending, SAFE));
+        let (tokens, straggler_tokens) = (
+            self.remaining_tokens(pending, LENGTH_QUANTILE),
+            self.remaining_tokens(pending, STRAGGLER_LENGTH_QUANTILE),
+        );
         let left = pending.request.deadline.saturating_duration_since(now).as_secs_f64();
         let ejected = pool.servers.iter().filter(|key| self.is_ejected(**key, now)).count();
-        // All of a pool out at once says more about this node than about the servers.
-        let panic = ejected == pool.servers.len();
+        // If all servers of a pool are ejected, the fault is more likely at this node, so none is excluded.
+        let all_ejected = ejected == pool.servers.len();
         let link = self.disabled.lacks(Mechanism::LinkBudget);
-        let urgent = self.urgent(pending, now);
+        let urgent = self.may_exceed_share(pending, now);
         let (mut near, mut far, mut free) = (false, 0, false);
         for key in &pool.servers {
-            let known = &self.servers[*key];
-            if !known.has_permit(now) {
+            let state = &self.servers[*key];
+            if !state.has_permit(now) {
                 continue;
             }
-            let here = known.terms.region == pending.request.region;
-            near |= here && !known.leaving() && !self.is_ejected(*key, now);
-            let place = known.has_free_slot(self.disabled);
-            free |= place;
-            let beyond = !place && urgent && known.has_spare_slots(now, self.disabled);
-            if !place && !beyond {
+            let here = state.terms.region == pending.request.region;
+            near |= here && !state.leaving() && !self.is_ejected(*key, now);
+            let has_slot = state.has_free_slot(self.disabled);
+            free |= has_slot;
+            let exceeds_share = !has_slot && urgent && state.has_spare_slots(now, self.disabled);
+            if !has_slot && !exceeds_share {
                 continue;
             }
-            if !self.takes(known, pending, overdue) || (!panic && self.is_excluded(*key, now)) {
+            if !self.accepts(state, pending, overdue)
+                || (!all_ejected && self.is_excluded(*key, now))
+            {
                 continue;
             }
-            let interval = known.token_interval();
-            let straggles = interval > pool.interval * STRAGGLER;
-            let tokens = if straggles { safe } else { rest };
-            let load = known.load(now, self.disabled);
-            let over = (load + 1.0 - f64::from(known.slots())).max(0.0);
-            let queue = over * pool.service(USUAL) / f64::from(known.slots().max(1));
+            let interval = state.token_interval();
+            let straggles = interval > pool.interval * STRAGGLER_RATIO;
+            let tokens = if straggles { straggler_tokens } else { tokens };
+            let load = state.load(now, self.disabled);
+            let excess = (load + 1.0 - f64::from(state.slots())).max(0.0);
+            let queue =
+                excess * pool.service(TYPICAL_ANSWER_TOKENS) / f64::from(state.slots().max(1));
             let time = queue
-                + known.first_token_time().unwrap_or(pool.first)
+                + state.first_token_time().unwrap_or(pool.first)
                 + interval * f64::from(tokens);
             if time > left && !overdue && self.disabled.lacks(Mechanism::DeadlineFit) {
                 continue;
             }
-            let load = load / f64::from(known.slots().max(1));
-            let hangs = if known.terms.prefill_rate.is_some()
+            let load = load / f64::from(state.slots().max(1));
+            let stall = if state.terms.prefill_rate.is_some()
                 || !self.disabled.lacks(Mechanism::Ejection)
             {
                 0.0
             } else {
-                self.longest_own_overdue(known, now)
+                self.longest_own_overdue(state, now)
             };
-            let time = time * (1.0 + self.failure_rate(known, now) * FAULTY) + hangs;
-            let candidate = Candidate { server: *key, salt: known.terms.salt, load, time };
+            let time = time * (1.0 + self.failure_rate(state, now) * FAILURE_PENALTY) + stall;
+            let candidate = Candidate { server: *key, salt: state.terms.salt, load, time };
             if here || !link {
                 into.insert(into.len() - far, candidate);
             } else {
@@ -284,11 +297,11 @@
                 far += 1;
             }
         }
-        // A server that just failed is as good as none.
-        let spent = |candidate: &Candidate| Some(candidate.server) == pending.avoid;
-        let only_far = into[..into.len() - far].iter().all(spent);
-        let again = pending.avoid.is_some();
-        if far > 0 && !(only_far && self.may_cross_link(pending, near && !again, now)) {
+        // A server where the last attempt failed doesn't count as a local choice.
+        let just_failed = |candidate: &Candidate| Some(candidate.server) == pending.avoid;
+        let only_far = into[..into.len() - far].iter().all(just_failed);
+        let is_retry = pending.avoid.is_some();
+        if far > 0 && !(only_far && self.may_cross_link(pending, near && !is_retry, now)) {
             into.truncate(into.len() - far);
         }
         if into.len() > 1
@@ -299,50 +312,57 @@
         free
     }
 
-    /// Whether a server takes requests of this tier now.
-    fn takes(&self, known: &server::State, pending: &Pending, overdue: bool) -> bool {
-        let awaited =
-            known.peer_waiting_tier(self.disabled).is_some_and(|waiting| waiting < pending.tier);
-        !known.leaving() && (!awaited || overdue)
+    /// Whether a server takes a request's tier now: it isn't leaving, and no higher tier waits for it at a
+    /// peer unless the request's class is overdue.
+    fn accepts(&self, state: &server::State, pending: &Pending, overdue: bool) -> bool {
+        let peer_waits =
+            state.peer_waiting_tier(self.disabled).is_some_and(|waiting| waiting < pending.tier);
+        !state.leaving() && (!peer_waits || overdue)
     }
 
-    /// A request of the highest tier that waits long goes beyond this node's part: engines honour
-    /// tiers, so if the place is a peer's, a lower tier waits for it and not this request.
-    fn urgent(&self, pending: &Pending, now: Instant) -> bool {
-        pending.tier == self.top && self.in_danger(pending, now)
+    /// Whether a request may take a slot beyond this node's share: it is of the highest tier and its
+    /// first-token target is at risk. Engines serve by tier, so if the slot was a peer's, a request of a
+    /// lower tier is delayed instead of this one.
+    fn may_exceed_share(&self, pending: &Pending, now: Instant) -> bool {
+        pending.tier == self.highest_tier && self.target_at_risk(pending, now)
     }
 
-    /// Part of its attempts of late that failed.
-    pub(crate) fn failure_rate(&self, known: &server::State, now: Instant) -> f64 {
-        let told =
+    /// Part of a server's recent attempts that failed; zero if failure rates are disabled.
+    pub(crate) fn failure_rate(&self, state: &server::State, now: Instant) -> f64 {
+        let enabled =
             self.disabled.lacks(Mechanism::Ejection) && self.disabled.lacks(Mechanism::FailureRate);
-        if told { known.health.faults(now) } else { 0.0 }
+        if enabled { state.health.faults(now) } else { 0.0 }
     }
 
+    /// Whether a server is ejected after failures, or its reports have stopped.
     pub(crate) fn is_ejected(&self, server: ids::Server, now: Instant) -> bool {
-        let known = &self.servers[server];
+        let state = &self.servers[server];
         self.disabled.lacks(Mechanism::Ejection)
-            && (known.health.ejected(now) || known.reports_stopped(now))
+            && (state.health.ejected(now) || state.reports_stopped(now))
     }
 
+    /// Whether a server gets no requests: it is ejected, or it was and the one request that tests whether it
+    /// has recovered is still running.
     pub(crate) fn is_excluded(&self, server: ids::Server, now: Instant) -> bool {
-        let known = &self.servers[server];
-        let probed = known.health.probed() && known.sent > 0;
-        self.is_ejected(server, now) || (self.disabled.lacks(Mechanism::Ejection) && probed)
+        let state = &self.servers[server];
+        let testing = state.health.probed() && state.sent > 0;
+        self.is_ejected(server, now) || (self.disabled.lacks(Mechanism::Ejection) && testing)
     }
 
-    /// Whether a request may cross the link: it buys a target, and the budget bears it.
+    /// Whether a request may cross the link: it has no healthy server nearby or has waited long enough for
+    /// one, and the budget left exceeds the reserve of the tiers above it.
     fn may_cross_link(&self, pending: &Pending, near: bool, now: Instant) -> bool {
         let target =
             self.classes.get(pending.request.class).map_or(Duration::ZERO, |c| c.first_token);
         let waited = now.saturating_duration_since(pending.request.arrived);
-        let reserve = (f64::from(pending.tier) * LINK_STEP).min(0.8);
-        let affordable = self.link.part() > reserve;
-        affordable && (!near || waited >= target.mul_f64(CROSS))
+        let reserve = (f64::from(pending.tier) * LINK_RESERVE_PER_TIER).min(0.8);
+        let affordable = self.link_budget.part() > reserve;
+        affordable && (!near || waited >= target.mul_f64(CROSSING_DELAY))
     }
 
-    fn send(&mut self, job: ids::Job, server: ids::Server, now: Instant) {
-        self.unqueue(job);
+    /// Records that a request is sent to a server, and charges its estimated cost.
+    fn send_to(&mut self, job: ids::Job, server: ids::Server, now: Instant) {
+        self.dequeue(job);
         let pending = &mut self.jobs[job];
         pending.stage = Stage::Sent(server);
         pending.attempts = pending.attempts.saturating_add(1);
@@ -350,36 +370,37 @@
         let (class, workspace, tier) =
             (pending.request.class, pending.request.workspace, pending.tier);
         let (pool, tokens, first) = (pending.pool, pending.tokens, pending.attempts == 1);
-        let (model, urgency) = (pending.request.model, pending.priority);
-        let bytes = pending.request.prompt_tokens * PROMPT_BYTES + tokens * EVENT_BYTES;
+        let (model, priority) = (pending.request.model, pending.priority);
+        let bytes =
+            pending.request.prompt_tokens * PROMPT_TOKEN_BYTES + tokens * ANSWER_TOKEN_BYTES;
         let charge = fair::cost(pending.request.prompt_tokens, pending.produced + tokens);
         let more = i64::from(charge) - i64::from(pending.charged);
         pending.charged = charge;
         let far = self.servers[server].terms.region != pending.request.region;
-        self.servers[server].record_send(job, urgency, now);
-        let lane = self.lane(workspace);
+        self.servers[server].record_send(job, priority, now);
+        let lane = self.lane_key(workspace);
         let counter = self.fair.workspace(class, lane);
         let line = self.pools[pool].line(tier, class);
         line.flow.add(tokens, now);
         line.floor = line.floor.max(counter);
         let waits = line.len() > 0;
-        if let Some(turn) = self.turns.get_mut(class) {
-            turn.since = waits.then_some(now);
+        if let Some(unserved) = self.unserved.get_mut(class) {
+            unserved.since = waits.then_some(now);
         }
         if far {
-            self.link.owe(f64::from(bytes));
+            self.link_budget.owe(f64::from(bytes));
         }
         if first {
-            let part = f64::from(self.limits.retry_percent) / 100.0;
-            self.retries(model).add(part);
+            let earned = f64::from(self.limits.retry_percent) / 100.0;
+            self.retry_budget(model).add(earned);
         }
         if let Some(entry) = self.in_flight.entry(workspace) {
             *entry.or_default() += 1;
         }
-        if !self.open(workspace) {
-            self.set_open(workspace);
+        if !self.has_in_flight_room(workspace) {
+            self.update_lanes(workspace);
         }
-        self.charge(class, workspace, more);
+        self.charge_tokens(class, workspace, more);
     }
 }
 
--- a/components/policy/src/engines.rs
+++ b/components/policy/src/engines.rs
@@ -2,7 +2,7 @@
 //!
 //! Load patterns: prompts that share a long prefix, which an engine that has prefilled it once needn't
 //! prefill again; steady streams beside long prompts; one session or caller that is far above the rest.
-//! Disabled this, recomputed prefill takes most of the engines' time.
+//! Without this, recomputed prefill takes most of the engines' time.
 //!
 //! Each session has a preferred engine in its class's isolation group, by rendezvous hashing, so that all
 //! nodes send it there without a message; once it is known where its prefix is cached, it goes there. A
--- a/components/policy/src/lib.rs
+++ b/components/policy/src/lib.rs
@@ -1,15 +1,15 @@
-//! Decisions under load: who is served, who waits, who is refused and where work goes.
+//! Schedules requests under load: admits, queues, refuses, retries and routes them to backend servers.
 //!
-//! Nothing here touches a network, a real clock or a task. The router, the tests and the pattern
-//! experiment drive the same [`Scheduler`] through [`Policy`].
+//! The crate does no I/O, reads no clock and spawns no tasks: callers pass in the current time. The
+//! router, the tests and the pattern experiment all drive [`Scheduler`] through [`Policy`].
 
 mod action;
 mod admit;
 mod attempt;
 mod backlog;
-
 mod bucket;
 mod cache;
+mod demand;
 mod dispatch;
 mod engines;
 mod fair;
@@ -19,7 +19,6 @@
 mod length;
 mod limit;
 mod mechanism;
-mod need;
 mod pending;
 mod pick;
 mod pool;
--- a/components/policy/src/pending.rs
+++ b/components/policy/src/pending.rs
@@ -1,4 +1,4 @@
-//! A request as the decisions hold it.
+//! Stores the scheduler's state of one request, from submission to its end.
 
 use std::time::{Duration, Instant};
 
@@ -6,81 +6,82 @@
 use crate::queue::Entry;
 use crate::terms::Request;
 
-/// Where a request is on its way.
+/// Where a request is in its life cycle.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Stage {
     /// In the queue of its pool.
     Waiting {
-        /// Its first-token target is missed, so it lets others of its class go first.
+        /// It has missed its first-token target, so other requests of its class are served first.
         late: bool,
     },
-    /// Waits for its next attempt.
-    Parked,
+    /// Waits out the backoff before its next attempt.
+    BackingOff,
     /// At a backend server.
     Sent(ids::Server),
-    /// Refused; the driver isn't told yet.
-    Over,
+    /// In no queue: just created, or refused and not yet reported to the driver.
+    Unqueued,
 }
 
 derives::data! {
-    /// What the decisions expected of the engine that they sent a request to.
+    /// The estimates for the engine that a request was sent to, at the time it was chosen.
     #[derive(Copy)]
     pub struct Expected {
-        /// The engine is the home of the request's session.
+        /// The engine is the preferred engine of the request's session.
         pub preferred: bool,
-        /// Time in which it reads the prompt.
+        /// Time in which it prefills the prompt.
         pub prefill: Duration,
-        /// Time until it begins to.
+        /// Time until that prefill starts.
         pub backlog: Duration,
-        /// Time that prompts take which are known to be read before it.
+        /// Prefill time of the prompts that are known to be ahead of this one.
         pub ahead: Duration,
-        /// Time by which a request waits there for longer than is usual.
+        /// Longest time by which a first token at the engine is overdue.
         pub overdue: Duration,
-        /// The engine from which it takes over the beginning of the prompt.
+        /// The engine from which it fetches the cached prefix of the prompt.
         pub fetch: Option<ids::Server>,
     }
 }
 
-/// A request from its submission to its one end.
+/// A request that the scheduler owns.
 #[derive(Debug)]
 pub(crate) struct Pending {
     pub(crate) request: Request,
     pub(crate) tier: u8,
-    /// Rank at engines.
+    /// Priority at engines; lower is served first.
     pub(crate) priority: u8,
-    /// Random number, so that requests of several nodes that know the same don't all choose the same.
+    /// Random number that keeps nodes with the same view from all choosing the same engine.
     pub(crate) jitter: u64,
     pub(crate) pool: Key,
     pub(crate) stage: Stage,
     pub(crate) attempts: u8,
     pub(crate) stops: u8,
     pub(crate) stopping: bool,
-    /// It was sent ahead of its turn, as its class had waited for its longest wait.
+    /// It was sent out of order because its class had gone unserved for its longest wait.
     pub(crate) ahead_of_turn: bool,
-    /// Tokens that came, of all attempts.
+    /// Tokens received, over all attempts.
     pub(crate) produced: u32,
     /// Tokens charged to its workspace.
     pub(crate) charged: u32,
-    /// Tokens it stands for while it waits.
+    /// Estimated tokens still to come, as counted in its queue.
     pub(crate) tokens: u32,
-    /// When it is looked at again.
+    /// When the scheduler next acts on it without an event.
     pub(crate) timer: Option<Instant>,
-    /// Sent later than this it can't end in time.
+    /// Latest time at which it can be sent and still end before its deadline.
     pub(crate) latest_send: Instant,
-    /// Its last attempt failed there.
+    /// The server where its last attempt failed.
     pub(crate) avoid: Option<ids::Server>,
-    /// Seconds that the engine reads its prompt for, while its answer hasn't begun.
+    /// Seconds of prefill that it adds to its engine; zero once the first token has arrived.
     pub(crate) prefill: f64,
-    /// Seconds of other prompts that the engine was known to read before it.
+    /// Seconds of prefill of other prompts known to be ahead of it when it was sent.
     pub(crate) ahead: f64,
-    /// What was expected of the engine that it was sent to last.
+    /// Estimates for the engine that it was last sent to.
     pub(crate) expected: Option<Expected>,
     pub(crate) sent_at: Instant,
     pub(crate) last_token: Option<Instant>,
 }
 
 impl Pending {
-    pub(crate) fn entry(&self, job: ids::Job, lane: ids::Workspace) -> Entry {
+    /// Its queue entry in the lane of a workspace.
+    pub(crate) fn queue_entry(&self, job: ids::Job, lane: ids::Workspace) -> Entry {
         Entry { job, workspace: lane, arrived: self.request.arrived, tokens: self.tokens }
     }
 }
--- a/components/policy/src/prefix.rs
+++ b/components/policy/src/prefix.rs
@@ -1,7 +1,7 @@
 //! Where the beginning of a prompt is kept, and what an engine does that lacks it.
 //!
 //! Pattern: sessions with long beginnings, and engines that are left for others as they are full, turn slow
-//! or go away. Disabled this, each request that leaves its engine has the beginning read anew; on a heavy day
+//! or go away. Without this, each request that leaves its engine has the beginning read anew; on a heavy day
 //! that took a fifth of all reading. Another engine takes a beginning over in a few hundredths of the time;
 //! without it callers on three sites of eight nodes get 0.013 to 0.019 less of the worth of their requests
 //! (mean over days with trouble, paired, standard error 0.004 to 0.007).
--- a/components/policy/src/quota.rs
+++ b/components/policy/src/quota.rs
@@ -1,21 +1,21 @@
-//! What a fleet shares out: limits of workspaces that follow it, and what waits for it.
+//! Counts waiting requests by model, and applies a workspace's limit on requests in flight.
 
 use crate::scheduler::Scheduler;
 
 derives::value! {
-    /// Work of one tier that waits for servers of one model.
+    /// Requests of one tier that wait for servers of one model.
     pub struct Wait {
         /// The model.
         pub model: ids::Model,
-        /// Rank of the tier.
+        /// Rank of the tier; 0 is the highest.
         pub tier: u8,
-        /// Requests that wait.
+        /// Number of requests that wait.
         pub count: u32,
     }
 }
 
 impl Scheduler {
-    /// Work that waits, by model and tier.
+    /// Requests that wait, by model and tier.
     ///
     /// ```
     /// assert!(policy::Scheduler::new().waits_by_model().is_empty());
@@ -44,12 +44,12 @@
         self.in_flight.get(workspace).copied().unwrap_or(0)
     }
 
-    /// Changes how many requests of a workspace may be in flight on this node.
-    pub fn set_in_flight(&mut self, workspace: ids::Workspace, most: u32) {
+    /// Sets how many requests of a workspace may be in flight on this node.
+    pub fn set_in_flight(&mut self, workspace: ids::Workspace, limit: u32) {
         let Some(terms) = self.workspaces.get_mut(workspace) else { return };
-        if terms.in_flight != most {
-            terms.in_flight = most;
-            self.set_open(workspace);
+        if terms.in_flight != limit {
+            terms.in_flight = limit;
+            self.update_lanes(workspace);
         }
     }
 }
--- a/components/policy/src/scheduler.rs
+++ b/components/policy/src/scheduler.rs
@@ -1,4 +1,4 @@
-//! The decisions of one node, put together.
+//! Defines [`Scheduler`], which holds the scheduling state of one node and implements [`Policy`].
 
 use std::collections::{BTreeSet, HashMap};
 use std::time::{Duration, Instant};
@@ -10,11 +10,11 @@
 use crate::action::{Action, Ending, Policy, Refusal};
 use crate::bucket::Bucket;
 use crate::cache;
+use crate::demand::Averages;
 use crate::fair::{self, Fair};
 use crate::isolation::GROUPS;
 use crate::length::Lengths;
 use crate::mechanism::{Disabled, Mechanism};
-use crate::need::Needs;
 use crate::pending::{Expected, Pending, Stage};
 use crate::pick::Candidate;
 use crate::pool::{Key, Member, Pool};
@@ -24,20 +24,21 @@
 use crate::terms::{Class, Demand, Fetch, Limits, Report, Request, Server, Share, Workspace};
 use crate::throttle::Permits;
 
-/// Retries that may come at once, over what fresh work has earned: those of one server that crashes
-/// with its places full.
+/// Retries allowed at once beyond the percentage of first attempts: as many as one server loses that
+/// crashes with all slots occupied.
 pub const RETRY_BURST: u32 = 16;
-/// Bytes of the link that may be sent at once: two seconds' worth.
-const LINK_SECONDS: f64 = 2.0;
+/// Burst allowed on the link between regions, in seconds of its rate.
+const LINK_BURST_SECONDS: f64 = 2.0;
 
-/// A class that waits to be served ahead of its turn.
+/// Tracks how long a class has waited without a request being sent.
 #[derive(Debug, Default)]
-pub(crate) struct Turn {
-    /// When a request of it came that found none served since.
+pub(crate) struct Unserved {
+    /// Start of that wait: the last send if requests of the class still waited then, otherwise the first
+    /// arrival after it.
     pub(crate) since: Option<Instant>,
 }
 
-/// Admission, queue and choice of backend server for one node.
+/// Admits, queues and routes the requests of one node.
 #[derive(Debug)]
 pub struct Scheduler {
     pub(crate) classes: SecondaryMap<ids::Class, Class>,
@@ -45,36 +46,38 @@
     pub(crate) servers: SecondaryMap<ids::Server, server::State>,
     pub(crate) jobs: SlotMap<ids::Job, Pending>,
     pub(crate) pools: SlotMap<Key, Pool>,
-    pub(crate) index: HashMap<(ids::Model, Vec<ids::Server>), Key>,
-    pub(crate) turns: SecondaryMap<ids::Class, Turn>,
+    pub(crate) pool_index: HashMap<(ids::Model, Vec<ids::Server>), Key>,
+    pub(crate) unserved: SecondaryMap<ids::Class, Unserved>,
     pub(crate) in_flight: SecondaryMap<ids::Workspace, u32>,
     pub(crate) fair: Fair,
     pub(crate) lengths: Lengths,
-    /// By what is asked for: retries at one service must not be paid for by work at another.
-    pub(crate) retries: SecondaryMap<ids::Model, Bucket>,
-    pub(crate) link: Bucket,
+    /// By model, so that requests to one service don't earn retries at another.
+    pub(crate) retry_budgets: SecondaryMap<ids::Model, Bucket>,
+    pub(crate) link_budget: Bucket,
     pub(crate) limits: Limits,
     pub(crate) prefixes: cache::Index,
-    /// At what rate this node sends to engines, and others do.
+    /// Rate at which this node sends to engines.
     pub(crate) send_rate: slots::SendRate,
+    /// Rate at which its peers do.
     pub(crate) peer_send_rate: slots::PeerRate,
     pub(crate) timers: BTreeSet<(Instant, ids::Job)>,
     pub(crate) refused: Vec<(ids::Job, Refusal, Duration)>,
     pub(crate) scratch: Vec<Candidate>,
     pub(crate) waiting: usize,
-    /// Requests that wait for their next attempt, by tier.
-    pub(crate) parked: BTreeSet<(u8, ids::Job)>,
+    /// Requests that wait out the backoff before their next attempt, by tier.
+    pub(crate) backing_off: BTreeSet<(u8, ids::Job)>,
+    /// Incremented by every change that may let a blocked request be sent.
     pub(crate) epoch: u64,
-    pub(crate) ticked: Option<Instant>,
-    pub(crate) needs: Needs,
-    /// Strictest target between tokens among the classes, in seconds.
-    pub(crate) strictest: f64,
-    /// Rank of the highest tier that has a class.
-    pub(crate) top: u8,
+    pub(crate) last_tick: Option<Instant>,
+    pub(crate) demand: Averages,
+    /// Shortest target between tokens of any class, in seconds.
+    pub(crate) min_token_interval: f64,
+    /// Highest tier that has a class; lower numbers are higher.
+    pub(crate) highest_tier: u8,
     pub(crate) rng: SmallRng,
     pub(crate) jitter: slots::Jitter,
     pub(crate) disabled: Disabled,
-    /// A session may have its home in another region.
+    /// A session's preferred engine may be in another region.
     pub(crate) cross_region: bool,
 }
 
@@ -85,7 +88,7 @@
 }
 
 impl Scheduler {
-    /// A scheduler that knows of nothing yet.
+    /// A scheduler without classes, workspaces or servers.
     ///
     /// ```
     /// let scheduler = policy::Scheduler::new();
@@ -95,7 +98,7 @@
         Self::default()
     }
 
-    /// The same with a seed for its random choices, so that a run can be repeated.
+    /// The same, with a fixed seed for its random choices so that a run can be repeated.
     ///
     /// ```
     /// let scheduler = policy::Scheduler::with_seed(7);
@@ -108,13 +111,13 @@
             servers: SecondaryMap::new(),
             jobs: SlotMap::with_key(),
             pools: SlotMap::with_key(),
-            index: HashMap::new(),
-            turns: SecondaryMap::new(),
+            pool_index: HashMap::new(),
+            unserved: SecondaryMap::new(),
             in_flight: SecondaryMap::new(),
             fair: Fair::default(),
             lengths: Lengths::default(),
-            retries: SecondaryMap::new(),
-            link: Bucket::new(0.0),
+            retry_budgets: SecondaryMap::new(),
+            link_budget: Bucket::new(0.0),
             limits: Limits { retry_percent: 10, retry_burst: RETRY_BURST, link_bytes: 1 << 20 },
             prefixes: cache::Index::default(),
             send_rate: slots::SendRate::default(),
@@ -123,12 +126,12 @@
             refused: vec![],
             scratch: vec![],
             waiting: 0,
-            parked: BTreeSet::new(),
+            backing_off: BTreeSet::new(),
             epoch: 1,
-            ticked: None,
-            needs: Needs::default(),
-            strictest: f64::INFINITY,
-            top: u8::MAX,
+            last_tick: None,
+            demand: Averages::default(),
+            min_token_interval: f64::INFINITY,
+            highest_tier: u8::MAX,
             rng: SmallRng::seed_from_u64(seed),
             jitter: slots::Jitter::new(seed),
             disabled: Disabled::default(),
@@ -142,7 +145,7 @@
         self
     }
 
-    /// Leaves a mechanism out, to measure what it buys.
+    /// Disables a mechanism, so that its effect can be measured.
     ///
     /// ```
     /// let scheduler = policy::Scheduler::with_seed(7).with_disabled(policy::Mechanism::Fairness);
@@ -153,105 +156,107 @@
         self
     }
 
-    /// Sets the limits of the deployment.
+    /// Sets the limits of the deployment. A change refills the link budget, and a change of the retry
+    /// burst refills the retry budgets.
     pub fn set_limits(&mut self, limits: Limits) {
         if limits.retry_burst != self.limits.retry_burst {
-            self.retries.clear();
+            self.retry_budgets.clear();
         }
-        if limits != self.limits || self.link.part() == 0.0 {
-            self.link = Bucket::new(limits.link_bytes as f64 * LINK_SECONDS);
+        if limits != self.limits || self.link_budget.part() == 0.0 {
+            self.link_budget = Bucket::new(limits.link_bytes as f64 * LINK_BURST_SECONDS);
         }
         self.limits = limits;
     }
 
-    /// Sets the terms of a class. What waits keeps the tier it came with.
+    /// Adds or updates a class. Requests already submitted keep their tier.
     pub fn set_class(&mut self, key: ids::Class, class: Class) {
         self.classes.insert(key, class);
-        self.turns.entry(key).map(|entry| entry.or_default());
-        self.set_pace();
+        self.unserved.entry(key).map(|entry| entry.or_default());
+        self.update_class_bounds();
     }
 
-    fn set_pace(&mut self) {
+    /// Updates what depends on all classes: the shortest token interval and the highest tier.
+    fn update_class_bounds(&mut self) {
         let targets = self.classes.values().map(|class| class.token_interval.as_secs_f64());
-        self.strictest = targets.fold(f64::INFINITY, f64::min);
-        self.top = self.classes.values().map(|class| class.tier).min().unwrap_or(u8::MAX);
+        self.min_token_interval = targets.fold(f64::INFINITY, f64::min);
+        self.highest_tier = self.classes.values().map(|class| class.tier).min().unwrap_or(u8::MAX);
     }
 
-    /// Sets the terms of a workspace.
+    /// Adds or updates a workspace.
     pub fn set_workspace(&mut self, key: ids::Workspace, workspace: Workspace) {
         self.workspaces.insert(key, workspace);
-        self.set_open(key);
+        self.update_lanes(key);
         self.epoch += 1;
     }
 
-    /// Sets the terms of a backend server; what is known of its load is kept.
+    /// Adds or updates a backend server; its load state is kept.
     pub fn set_server(&mut self, key: ids::Server, terms: Server) {
         match self.servers.get_mut(key) {
-            Some(known) => known.terms = terms,
+            Some(state) => state.terms = terms,
             None => {
                 self.servers.insert(key, server::State::new(terms));
             }
         }
-        self.refresh();
+        self.rebuild_pools();
     }
 
-    /// Says how a backend server takes over prompts from others.
+    /// Sets how fast a backend server fetches cached prefixes from others; none if it can't.
     pub fn set_fetch(&mut self, key: ids::Server, fetch: Option<Fetch>) {
-        if let Some(known) = self.servers.get_mut(key) {
-            known.terms.fetch = fetch;
+        if let Some(state) = self.servers.get_mut(key) {
+            state.terms.fetch = fetch;
         }
     }
 
-    /// Says whether a backend server has named a rate limit. From then on it is sent nothing without a
-    /// permit of [`Scheduler::add_permits`].
+    /// Sets whether a backend server has announced a rate limit. If so, it is sent requests only on permits
+    /// from [`Scheduler::add_permits`].
     pub fn set_rate_limited(&mut self, key: ids::Server, limited: bool) {
-        let Some(known) = self.servers.get_mut(key) else { return };
-        if known.permits.is_some() != limited {
-            known.permits = limited.then(Permits::default);
+        let Some(state) = self.servers.get_mut(key) else { return };
+        if state.permits.is_some() != limited {
+            state.permits = limited.then(Permits::default);
             self.epoch += 1;
         }
     }
 
-    /// Permits so many requests to a server that has named a rate limit, for a while.
+    /// Permits `count` requests to a rate-limited server; the permits expire after a short time.
     pub fn add_permits(&mut self, key: ids::Server, count: u32, now: Instant) {
-        let known = self.servers.get_mut(key);
-        if let Some(permits) = known.and_then(|known| known.permits.as_mut()) {
+        let state = self.servers.get_mut(key);
+        if let Some(permits) = state.and_then(|state| state.permits.as_mut()) {
             permits.add(count, now);
             self.epoch += 1;
         }
     }
 
-    /// Forgets a class that the settings no longer name.
+    /// Removes a class that the settings no longer name.
     pub fn remove_class(&mut self, key: ids::Class) {
         self.classes.remove(key);
-        self.turns.remove(key);
-        self.needs.remove_class(key);
+        self.unserved.remove(key);
+        self.demand.remove_class(key);
         self.fair.remove_class(key);
         self.lengths.remove_class(key);
-        self.set_pace();
+        self.update_class_bounds();
     }
 
-    /// Forgets a workspace that the settings no longer name.
+    /// Removes a workspace that the settings no longer name.
     pub fn remove_workspace(&mut self, key: ids::Workspace) {
         self.workspaces.remove(key);
         self.fair.remove_workspace(key);
         self.lengths.remove_workspace(key);
     }
 
-    /// Gives a backend server that the settings no longer name no new work.
+    /// Removes a backend server that the settings no longer name; it gets no new work.
     pub fn remove_server(&mut self, key: ids::Server) {
         self.servers.remove(key);
         self.prefixes.remove_server(key);
-        self.refresh();
+        self.rebuild_pools();
     }
 
-    /// Retries that requests for a model may spend.
-    pub(crate) fn retries(&mut self, model: ids::Model) -> &mut Bucket {
+    /// Retry budget of the requests for a model; starts full.
+    pub(crate) fn retry_budget(&mut self, model: ids::Model) -> &mut Bucket {
         let burst = f64::from(self.limits.retry_burst);
-        if !self.retries.contains_key(model) {
-            self.retries.insert(model, Bucket::new(burst));
+        if !self.retry_budgets.contains_key(model) {
+            self.retry_budgets.insert(model, Bucket::new(burst));
         }
-        &mut self.retries[model]
+        &mut self.retry_budgets[model]
     }
 
     /// Number of requests that wait.
@@ -259,24 +264,25 @@
         self.waiting
     }
 
-    /// What was expected of the engine that a request was sent to; none if it went to none whose
-    /// reading is known.
+    /// Estimates for the engine that a request was last sent to; none if it wasn't sent yet, or if the
+    /// prefill rates in its pool are unknown.
     pub fn expected(&self, job: ids::Job) -> Option<Expected> {
         self.jobs.get(job)?.expected
     }
 
-    /// Requests that a server runs at once; none if it isn't known.
+    /// Requests that a server runs at once; none if the settings don't name it.
     pub fn slots(&self, server: ids::Server) -> Option<u32> {
         self.servers.get(server).map(server::State::slots)
     }
 
-    /// Number of requests sent to a server that haven't ended.
+    /// Requests of this node in flight at a server.
     pub fn in_flight_at(&self, server: ids::Server) -> u32 {
-        self.servers.get(server).map_or(0, |known| known.sent)
+        self.servers.get(server).map_or(0, |state| state.sent)
     }
 
-    /// Engine time of late by isolation group, the least tolerant first, in seconds, where engines are
-    /// known to read. All fade in the same way, so those of several nodes can be added.
+    /// Recent engine time by isolation group, the least pause tolerant first, in seconds. Counts only
+    /// engines whose prefill rate is known. It decays at the same rate on all nodes, so the values of
+    /// several nodes can be added.
     ///
     /// ```
     /// assert_eq!(policy::Scheduler::new().recent_engine_seconds(), [0.0; policy::GROUPS]);
@@ -286,12 +292,12 @@
         all.fold([0.0; GROUPS], |sum, own| std::array::from_fn(|group| sum[group] + own[group]))
     }
 
-    /// Says whether a session may have its home in another region than its caller's.
+    /// Sets whether a session's preferred engine may be in another region than its caller.
     pub fn set_cross_region(&mut self, crosses: bool) {
         self.cross_region = crosses;
     }
 
-    /// Takes in the sum of [`Scheduler::recent_engine_seconds`] over all nodes.
+    /// Sets the sum of [`Scheduler::recent_engine_seconds`] over all nodes.
     pub fn set_fleet_engine_seconds(&mut self, seconds: [f64; GROUPS], now: Instant) {
         if !self.disabled.lacks(Mechanism::FleetWork) {
             return;
@@ -301,49 +307,55 @@
         }
     }
 
-    /// Work by class, for peers: a mean over the last seconds.
+    /// Demand by class, averaged over the last seconds, to report to peers.
     pub fn demand(&self) -> Vec<Demand> {
-        self.needs.demand()
+        self.demand.demand()
     }
 
-    /// Works out again which servers belong to which pool, and drops pools that nobody uses.
-    fn refresh(&mut self) {
+    /// Updates which servers belong to which pool, and drops unused pools.
+    fn rebuild_pools(&mut self) {
         for pool in self.pools.values_mut() {
-            pool.servers = members(&self.servers, pool.model, &pool.allowed);
-            pool.members = ranked(&self.servers, &pool.servers);
+            pool.servers = servers_for(&self.servers, pool.model, &pool.allowed);
+            pool.members = rank_members(&self.servers, &pool.servers);
         }
         self.epoch += 1;
-        let Scheduler { pools, index, ticked, .. } = self;
-        // One that stands empty for a moment still knows what its engines were used for of late.
-        let of_late = |pool: &Pool| ticked.is_some_and(|now| pool.isolation.recently_active(now));
-        pools.retain(|_, pool| pool.jobs > 0 || of_late(pool));
-        index.retain(|_, key| pools.contains_key(*key));
+        let Scheduler { pools, pool_index, last_tick, .. } = self;
+        // A pool that is empty for a moment is kept for the recent engine time that it has recorded.
+        let recently_active =
+            |pool: &Pool| last_tick.is_some_and(|now| pool.isolation.recently_active(now));
+        pools.retain(|_, pool| pool.jobs > 0 || recently_active(pool));
+        pool_index.retain(|_, key| pools.contains_key(*key));
     }
 
-    /// The pool of a request.
-    pub(crate) fn pool(&mut self, request: &Request, now: Instant) -> Key {
+    /// The pool of a request's model and allowed servers, created if needed.
+    pub(crate) fn pool_for(&mut self, request: &Request, now: Instant) -> Key {
         let allowed = self.workspaces.get(request.workspace).map(|w| w.servers.clone());
         let allowed = allowed.unwrap_or_default();
-        if let Some(key) = self.index.get(&(request.model, allowed.clone())) {
+        if let Some(key) = self.pool_index.get(&(request.model, allowed.clone())) {
             return *key;
         }
         let mut pool = Pool::new(request.model, allowed.clone());
-        pool.servers = members(&self.servers, request.model, &allowed);
-        pool.members = ranked(&self.servers, &pool.servers);
+        pool.servers = servers_for(&self.servers, request.model, &allowed);
+        pool.members = rank_members(&self.servers, &pool.servers);
         let key = self.pools.insert(pool);
-        self.index.insert((request.model, allowed), key);
-        self.part(key, now);
-        self.measure(key);
+        self.pool_index.insert((request.model, allowed), key);
+        self.update_isolation(key, now);
+        self.update_capacity(key);
         key
     }
 
-    /// The lane of a workspace; a single one for all when turns are left out.
-    pub(crate) fn lane(&self, workspace: ids::Workspace) -> ids::Workspace {
+    /// The key of a workspace's lane; all workspaces share one if fairness is disabled.
+    pub(crate) fn lane_key(&self, workspace: ids::Workspace) -> ids::Workspace {
         if self.disabled.lacks(Mechanism::Fairness) { workspace } else { ids::Workspace::default() }
     }
 
-    /// Charges tokens to a workspace and puts its lanes where they belong.
-    pub(crate) fn charge(&mut self, class: ids::Class, workspace: ids::Workspace, tokens: i64) {
+    /// Charges tokens to a workspace and reorders its lanes.
+    pub(crate) fn charge_tokens(
+        &mut self,
+        class: ids::Class,
+        workspace: ids::Workspace,
+        tokens: i64,
+    ) {
         if tokens == 0 || !self.disabled.lacks(Mechanism::Fairness) {
             return;
         }
@@ -360,13 +372,14 @@
     }
 
     /// Whether a workspace may have one more request in flight.
-    pub(crate) fn open(&self, workspace: ids::Workspace) -> bool {
-        let most = self.workspaces.get(workspace).map_or(u32::MAX, |w| w.in_flight);
-        self.in_flight.get(workspace).copied().unwrap_or(0) < most
+    pub(crate) fn has_in_flight_room(&self, workspace: ids::Workspace) -> bool {
+        let limit = self.workspaces.get(workspace).map_or(u32::MAX, |w| w.in_flight);
+        self.in_flight.get(workspace).copied().unwrap_or(0) < limit
     }
 
-    pub(crate) fn set_open(&mut self, workspace: ids::Workspace) {
-        let (open, lane) = (self.open(workspace), self.lane(workspace));
+    /// Opens or closes the lanes of a workspace by whether it may have one more request in flight.
+    pub(crate) fn update_lanes(&mut self, workspace: ids::Workspace) {
+        let (open, lane) = (self.has_in_flight_room(workspace), self.lane_key(workspace));
         if lane != workspace {
             return;
         }
@@ -376,9 +389,9 @@
         }
     }
 
-    /// Forgets a request.
-    pub(crate) fn forget(&mut self, job: ids::Job) -> Option<Pending> {
-        self.unqueue(job);
+    /// Removes a request from the scheduler.
+    pub(crate) fn remove_job(&mut self, job: ids::Job) -> Option<Pending> {
+        self.dequeue(job);
         let pending = self.jobs.remove(job)?;
         if let Some(pool) = self.pools.get_mut(pending.pool) {
             pool.jobs -= 1;
@@ -387,19 +400,22 @@
     }
 }
 
-/// The servers that hold a model and are among those allowed.
-fn members(
+/// The servers that serve a model and are among those allowed; an empty list allows all.
+fn servers_for(
     servers: &SecondaryMap<ids::Server, server::State>,
     model: ids::Model,
     allowed: &[ids::Server],
 ) -> Vec<ids::Server> {
-    let may = |key: &ids::Server| allowed.is_empty() || allowed.contains(key);
-    let able = servers.iter().filter(|(_, known)| known.terms.models.contains(&model));
-    able.map(|(key, _)| key).filter(may).collect()
+    let is_allowed = |key: &ids::Server| allowed.is_empty() || allowed.contains(key);
+    let serving = servers.iter().filter(|(_, state)| state.terms.models.contains(&model));
+    serving.map(|(key, _)| key).filter(is_allowed).collect()
 }
 
-/// Those of the servers that take new work, each with its rank in its region.
-fn ranked(servers: &SecondaryMap<ids::Server, server::State>, pool: &[ids::Server]) -> Vec<Member> {
+/// The servers of a pool that take new work, each with its rank within its region.
+fn rank_members(
+    servers: &SecondaryMap<ids::Server, server::State>,
+    pool: &[ids::Server],
+) -> Vec<Member> {
     let open = pool.iter().filter(|key| !servers[**key].leaving());
     let mut open: Vec<_> = open.map(|key| (&servers[*key].terms, *key)).collect();
     open.sort_by_key(|(terms, _)| (terms.region, crate::pick::mix64(terms.salt)));
@@ -418,15 +434,15 @@
     }
 
     fn poll(&mut self, now: Instant, actions: &mut Vec<Action>) {
-        let ticks = self.tick(now);
-        self.expire(now);
+        let ticked = self.run_tick(now);
+        self.run_timers(now);
         self.dispatch(now, actions);
-        if ticks && self.disabled.lacks(Mechanism::Preemption) {
-            self.stop(now, actions);
-            self.rescue(now, actions);
+        if ticked && self.disabled.lacks(Mechanism::Preemption) {
+            self.stop_for_waiting(now, actions);
+            self.stop_for_engine_queue(now, actions);
         }
         for (job, refusal, retry_after) in std::mem::take(&mut self.refused) {
-            if self.forget(job).is_some() {
+            if self.remove_job(job).is_some() {
                 actions.push(Action::Refuse { job, refusal, retry_after });
             }
         }
@@ -434,11 +450,11 @@
 
     fn next_due(&self) -> Option<Instant> {
         if !self.refused.is_empty() {
-            return self.ticked;
+            return self.last_tick;
         }
         let timer = self.timers.first().map(|(at, _)| *at);
         let tick =
-            self.ticked.filter(|_| !self.jobs.is_empty()).map(|at| at + crate::dispatch::TICK);
+            self.last_tick.filter(|_| !self.jobs.is_empty()).map(|at| at + crate::dispatch::TICK);
         timer.into_iter().chain(tick).min()
     }
 
@@ -452,54 +468,54 @@
         pending.charged = pending.charged.max(used);
         let (class, workspace, sent) =
             (pending.request.class, pending.request.workspace, pending.sent_at);
-        if let Some(known) = self.servers.get_mut(server) {
-            known.health.good();
+        if let Some(state) = self.servers.get_mut(server) {
+            state.health.good();
             match last {
                 None => {
                     let took = now.saturating_duration_since(sent);
                     self.prefixes.record_prefill(&pending.request, server, now);
-                    known.record_first_token(took);
-                    let begun = FirstToken {
+                    state.record_first_token(took);
+                    let first_token = FirstToken {
                         priority: pending.priority,
                         prefill: pending.prefill,
                         queued_ahead: pending.ahead,
                         took: took.as_secs_f64(),
                     };
-                    known.prefill.record_first_token(begun, now);
+                    state.prefill.record_first_token(first_token, now);
                     pending.prefill = 0.0;
                 }
-                Some(last) => known.record_token_interval((now - last) / count.max(1)),
+                Some(last) => state.record_token_interval((now - last) / count.max(1)),
             }
             if last.is_some() {
-                let (interval, slots) = (known.token_interval(), known.slots());
-                known.limit.observe(interval, self.strictest, slots, now);
+                let (interval, slots) = (state.token_interval(), state.slots());
+                state.limit.observe(interval, self.min_token_interval, slots, now);
             }
         }
-        self.charge(class, workspace, i64::from(more));
+        self.charge_tokens(class, workspace, i64::from(more));
     }
 
     fn attempt_ended(&mut self, job: ids::Job, ending: Ending, now: Instant) -> bool {
-        self.conclude(job, ending, now)
+        self.finish_attempt(job, ending, now)
     }
 
     fn withdraw(&mut self, job: ids::Job, _now: Instant) {
-        self.forget(job);
+        self.remove_job(job);
     }
 
     fn record_report(&mut self, server: ids::Server, report: Report, now: Instant) {
-        let Some(known) = self.servers.get_mut(server) else { return };
-        let (interval, slots) = (report.token_interval.as_secs_f64(), known.slots());
-        known.apply_report(report, now);
+        let Some(state) = self.servers.get_mut(server) else { return };
+        let (interval, slots) = (report.token_interval.as_secs_f64(), state.slots());
+        state.apply_report(report, now);
         if interval > 0.0 {
-            known.limit.observe(interval, self.strictest, slots, now);
+            state.limit.observe(interval, self.min_token_interval, slots, now);
         }
         self.epoch += 1;
     }
 
     fn set_share(&mut self, server: ids::Server, share: Share, _now: Instant) {
-        let Some(known) = self.servers.get_mut(server) else { return };
-        if known.share != Some(share) {
-            known.share = Some(share);
+        let Some(state) = self.servers.get_mut(server) else { return };
+        if state.share != Some(share) {
+            state.share = Some(share);
             self.epoch += 1;
         }
     }
--- a/components/policy/src/server.rs
+++ b/components/policy/src/server.rs
@@ -1,6 +1,6 @@
 //! The state of one backend server: its terms, its reports, and what was sent to it.
 //!
-//! Pattern: reports that lag. Disabled the correction every node sends to the server that looked
+//! Pattern: reports that lag. Without the correction every node sends to the server that looked
 //! idle a while ago, all at once.
 
 use std::collections::VecDeque;
--- a/components/policy/src/status.rs
+++ b/components/policy/src/status.rs
@@ -1,10 +1,10 @@
-//! What the decisions believe, for operators to read.
+//! Reports the state of servers and requests to operators.
 
 use std::time::{Duration, Instant};
 
 use slotmap::SecondaryMap;
 
-use crate::dispatch::STRAGGLER;
+use crate::dispatch::STRAGGLER_RATIO;
 use crate::pending::Stage;
 use crate::scheduler::Scheduler;
 use crate::terms::Demand;
@@ -13,27 +13,27 @@
     /// Why a backend server gets no work now, or less than others.
     #[derive(Copy, Eq)]
     pub enum Unused {
-        /// Settings or its report say that it takes no new work.
+        /// The settings or its report say that it takes no new work.
         Leaving,
-        /// Its attempts failed lately; it is tried again later.
+        /// Its recent attempts failed, or its reports stopped; it is tried again later.
         Ejected,
-        /// All places that this node may fill are filled.
+        /// All slots that this node may occupy there are occupied.
         Full,
-        /// Its tokens come far slower than those of like servers.
+        /// Its time between tokens is much longer than the median of the servers in its pool.
         Straggling,
     }
 
-    /// What is believed of one backend server.
+    /// The scheduler's view of one backend server.
     pub struct Status {
         /// Requests of this node there.
         pub sent: u32,
         /// Requests that this node may have there at once.
         pub slots: u32,
-        /// Requests there in all, as far as can be told.
+        /// Estimated number of requests there from all nodes.
         pub load: f64,
         /// Time between tokens of a stream.
         pub interval: Duration,
-        /// Time since the last report was made; none if none came.
+        /// Time since its last report was made; none if there was none.
         pub age: Option<Duration>,
         /// Why it isn't used, if so.
         pub unused: Option<Unused>,
@@ -41,7 +41,7 @@
 }
 
 impl Unused {
-    /// The word for it in status.
+    /// The word that stands for it in the status.
     ///
     /// ```
     /// assert_eq!(policy::Unused::Full.as_str(), "full");
@@ -57,7 +57,7 @@
 }
 
 impl Scheduler {
-    /// What is believed of a server; none if the settings don't name it.
+    /// The view of a server; none if the settings don't name it.
     ///
     /// ```
     /// let scheduler = policy::Scheduler::new();
@@ -65,31 +65,31 @@
     /// assert!(scheduler.status(ids::Server::default(), now).is_none());
     /// ```
     pub fn status(&self, server: ids::Server, now: Instant) -> Option<Status> {
-        let known = self.servers.get(server)?;
+        let state = self.servers.get(server)?;
         let pools = self.pools.values().filter(|pool| pool.servers.contains(&server));
         let usual = pools.map(|pool| pool.interval).reduce(f64::max);
-        let unused = if known.leaving() {
+        let unused = if state.leaving() {
             Some(Unused::Leaving)
         } else if self.is_ejected(server, now) {
             Some(Unused::Ejected)
-        } else if !known.has_free_slot(self.disabled) {
+        } else if !state.has_free_slot(self.disabled) {
             Some(Unused::Full)
-        } else if usual.is_some_and(|usual| known.token_interval() > usual * STRAGGLER) {
+        } else if usual.is_some_and(|usual| state.token_interval() > usual * STRAGGLER_RATIO) {
             Some(Unused::Straggling)
         } else {
             None
         };
         Some(Status {
-            sent: known.sent,
-            slots: known.node_slots(self.disabled),
-            load: known.load(now, self.disabled),
-            interval: Duration::from_secs_f64(known.token_interval()),
-            age: known.report_age(now),
+            sent: state.sent,
+            slots: state.node_slots(self.disabled),
+            load: state.load(now, self.disabled),
+            interval: Duration::from_secs_f64(state.token_interval()),
+            age: state.report_age(now),
             unused,
         })
     }
 
-    /// Requests held now, by class.
+    /// Requests that wait and that are in flight now, by class.
     pub fn current_demand(&self) -> Vec<Demand> {
         let mut all: SecondaryMap<ids::Class, Demand> = SecondaryMap::new();
         for pending in self.jobs.values() {
--- a/components/policy/src/terms.rs
+++ b/components/policy/src/terms.rs
@@ -1,4 +1,4 @@
-//! What the decisions know of classes, workspaces, backend servers and requests.
+//! Defines the data that drivers pass to the scheduler: classes, workspaces, servers, reports, requests.
 
 use std::time::{Duration, Instant};
 
@@ -7,25 +7,26 @@
     pub struct Class {
         /// Rank of the tier; 0 is the highest.
         pub tier: u8,
-        /// Rank of its requests at engines, which take those of a lower one first.
+        /// Priority of its requests at engines, which serve lower numbers first.
         pub priority: u8,
-        /// Share among the classes of a tier; at least 1.
+        /// Weight among the classes of a tier; at least 1.
         pub weight: u32,
         /// Target for the time to the first token.
         pub first_token: Duration,
         /// Target for the time between tokens.
         pub token_interval: Duration,
-        /// A class that waits and hasn't been served for this long is served ahead of its turn.
+        /// Once requests of the class have waited this long without one being sent, one is sent ahead of
+        /// all other classes.
         pub longest_wait: Duration,
         /// Requests that may wait at once.
         pub queue: usize,
-        /// Attempts a request may take, the first included.
+        /// Attempts allowed for a request, the first included.
         pub attempts: u8,
     }
 
     /// A workspace.
     pub struct Workspace {
-        /// Share among the workspaces of a class; at least 1.
+        /// Weight among the workspaces of a class; at least 1.
         pub weight: u32,
         /// Requests that may be in flight at once on this node.
         pub in_flight: u32,
@@ -35,60 +36,60 @@
 
     /// A backend server.
     pub struct Server {
-        /// Where it stands.
+        /// The region it is in.
         pub region: ids::Region,
-        /// The failure domain it stands in.
+        /// The failure domain it is in.
         pub domain: ids::Domain,
-        /// Hash of its name, alike on all nodes.
+        /// Hash of its name, the same on all nodes.
         pub salt: u64,
-        /// Requests it can run at once, by the settings.
+        /// Requests that it can run at once according to the settings.
         pub slots: u32,
         /// Models it serves; a plain service has its path prefix as its only model.
         pub models: Vec<ids::Model>,
-        /// Takes no new work when set.
+        /// It takes no new work.
         pub leaving: bool,
-        /// Goes on with an answer that was begun elsewhere.
+        /// It can continue an answer that another server began.
         pub resumes: bool,
-        /// Tokens of prompts that it reads in a second; none where that isn't known, or where it
-        /// reads none.
+        /// Prompt tokens that it prefills per second; none if that is unknown or the server has no
+        /// prefill.
         pub prefill_rate: Option<u32>,
-        /// How fast it takes over what another engine keeps of a prompt; none where it can't.
+        /// How fast it fetches a cached prefix from another engine; none if it can't.
         pub fetch: Option<Fetch>,
     }
 
-    /// How an engine takes over what another one keeps of a prompt.
+    /// The cost of fetching a cached prefix from another engine.
     #[derive(Copy)]
     pub struct Fetch {
-        /// Tokens in a second.
+        /// Tokens transferred per second.
         pub tokens_per_second: f64,
-        /// Time before the first of them.
+        /// Time before the first token is transferred.
         pub setup: Duration,
     }
 
-    /// Limits of the deployment that bound the decisions of one node.
+    /// Limits of the deployment that each node keeps.
     #[derive(Copy, Eq)]
     pub struct Limits {
-        /// Retries as a part of fresh work, in percent.
+        /// Retries allowed, in percent of first attempts.
         pub retry_percent: u32,
-        /// Retries that may come at once for one model, over what fresh work has earned.
+        /// Retries allowed at once for one model, beyond that percentage.
         pub retry_burst: u32,
-        /// Bytes a second that this node may send over the link between regions.
+        /// Bytes per second that this node may send over the link between regions.
         pub link_bytes: u64,
     }
 
-    /// What this node may put on a backend server that peers use as well. Without one, the node
-    /// acts as if it were alone.
+    /// This node's share of a backend server that its peers use as well. Without one, the node uses the
+    /// server as if it were alone.
     #[derive(Copy, Eq)]
     pub struct Share {
-        /// Places of the server that this node may fill now.
+        /// Slots of the server that this node may occupy now.
         pub slots: u32,
-        /// Requests that peers have in flight there, as far as heard.
+        /// Requests that peers have in flight there, as last reported.
         pub sent: u32,
-        /// Rank of the highest tier that waits for this server at a peer.
+        /// Highest tier of the requests that wait for this server at a peer.
         pub waiting: Option<u8>,
     }
 
-    /// Work of one class on this node.
+    /// Requests of one class on this node.
     #[derive(Copy, Eq)]
     pub struct Demand {
         /// The class.
@@ -99,47 +100,48 @@
         pub sent: u32,
     }
 
-    /// Prompts of some nodes that an engine reads or has still to read, and what they saw of it.
+    /// Outstanding prefill of some nodes at one engine, and their observations of it. Vectors are indexed
+    /// by priority.
     #[derive(Default)]
     pub struct Backlog {
         /// The engine.
         pub server: ids::Server,
-        /// Seconds that they take to read, by rank of urgency.
+        /// Seconds of prefill outstanding.
         pub prefill: Vec<f64>,
-        /// Seconds by which one of them waits for its answer beyond what is usual, by rank of urgency.
+        /// Most seconds by which the first token of a request there is overdue.
         pub overdue: Vec<f64>,
-        /// Places that they take at the engine or wait for, by rank of urgency.
+        /// Slots that their requests occupy or wait for.
         pub occupied: Vec<f64>,
-        /// Time since the engine was last seen to begin an answer; none if it wasn't of late.
+        /// Time since the last first token from the engine; none if there was none recently.
         pub since_first_token: Option<Duration>,
     }
 
-    /// What an engine says of its load, with a lag.
+    /// An engine's report of its load, which arrives with a lag.
     pub struct Report {
-        /// When the engine made it, as far as known.
+        /// When the engine made it, as well as that is known.
         pub at: Instant,
-        /// Requests that run.
+        /// Requests running at the engine.
         pub running: u32,
-        /// Requests that wait at the engine.
+        /// Requests queued at the engine.
         pub queued: u32,
-        /// Requests it can run at once.
+        /// Requests that it can run at once.
         pub slots: u32,
         /// Observed time between tokens of a stream.
         pub token_interval: Duration,
-        /// Takes no new work when set.
+        /// It takes no new work.
         pub leaving: bool,
     }
 
-    /// A part of prompts, alike in all requests that have it.
+    /// A section of a prompt that several requests share.
     #[derive(Copy, Eq)]
     pub struct Part {
         /// Identifier of its content.
         pub id: u64,
-        /// Its length.
+        /// Its length in tokens.
         pub tokens: u32,
     }
 
-    /// An engine keeps a part.
+    /// An engine has a prompt part in its prefix cache.
     #[derive(Copy, Eq)]
     pub struct Cached {
         /// The engine.
@@ -148,7 +150,7 @@
         pub part: u64,
     }
 
-    /// A request as the decisions see it.
+    /// A request as the scheduler sees it.
     pub struct Request {
         /// Its class.
         pub class: ids::Class,
@@ -156,27 +158,27 @@
         pub workspace: ids::Workspace,
         /// The model or plain service it asks for.
         pub model: ids::Model,
-        /// Hash of the prompt's head, for servers that cache it.
+        /// Hash of the start of the prompt, by which requests are sent to a server that caches it.
         pub prefix: u64,
         /// Length of the prompt in tokens, estimated.
         pub prompt_tokens: u32,
-        /// Parts at the start of the prompt that other requests have too, in order.
+        /// Parts at the start of the prompt that other requests share, in order.
         pub shared: Vec<Part>,
         /// Limit on the answer in tokens that the caller set.
         pub max_tokens: Option<u32>,
         /// When it was received.
         pub arrived: Instant,
-        /// Of no use when finished after this.
+        /// An answer that ends later than this is useless to the caller.
         pub deadline: Instant,
-        /// May be run more than once.
+        /// It may be run more than once.
         pub idempotent: bool,
-        /// Where the caller is; a server elsewhere costs bytes of the link.
+        /// The caller's region; sending to a server in another one uses the link between regions.
         pub region: ids::Region,
     }
 }
 
 impl Request {
-    /// Tokens at the start of the prompt that other requests have too.
+    /// Tokens at the start of the prompt that other requests share.
     pub(crate) fn shared_tokens(&self) -> u32 {
         self.shared.iter().fold(0, |sum, part| sum.saturating_add(part.tokens))
     }
