--- a/components/policy/src/admit.rs
+++ b/components/policy/src/admit.rs
@@ -106,15 +106,15 @@
             return 128.min(limit);
         }
         let (class, workspace) = (request.class, request.workspace);
-        self.lengths.rest(class, workspace, pending.produced, quantile).min(limit)
+        self.lengths.remaining(class, workspace, pending.produced, quantile).min(limit)
     }
 
     /// Updates a request's estimated tokens, and the latest time at which it can be sent.
     fn update_estimates(&mut self, job: ids::Job) {
         let pending = &self.jobs[job];
         let tokens = self.remaining_tokens(pending, 0.5);
-        let service =
-            self.pools[pending.pool].service(self.remaining_tokens(pending, LENGTH_QUANTILE));
+        let service = self.pools[pending.pool]
+            .service_seconds(self.remaining_tokens(pending, LENGTH_QUANTILE));
         let fit = self.disabled.lacks(Mechanism::DeadlineFit);
         let pending = &mut self.jobs[job];
         pending.tokens = tokens;
@@ -131,16 +131,17 @@
         let (tier, pool) = (pending.tier, pending.pool);
         let has_tokens = pending.produced > 0;
         let target = self.classes.get(class).map_or(Duration::ZERO, |class| class.first_token);
-        let margin = Duration::from_secs_f64(self.pools[pool].first * FIRST_TOKEN_MARGIN);
+        let margin =
+            Duration::from_secs_f64(self.pools[pool].first_token_time * FIRST_TOKEN_MARGIN);
         let late_at = pending.request.arrived + target.saturating_sub(margin);
         let late = !has_tokens && late_at <= now && self.disabled.lacks(Mechanism::Yielding);
         let lane = self.lane_key(workspace);
         let counter = self.raise_counters(pool, tier, class, lane);
         let open = self.has_in_flight_room(workspace);
         let entry = self.jobs[job].queue_entry(job, lane);
-        let line = self.pools[pool].line(tier, class);
-        line.band(late).push(entry, counter, open);
-        line.blocked = 0;
+        let queue = self.pools[pool].queue_mut(tier, class);
+        queue.lanes_mut(late).push(entry, counter, open);
+        queue.blocked_epoch = 0;
         let pending = &mut self.jobs[job];
         pending.stage = Stage::Waiting { late };
         let yields = !late && !has_tokens && self.disabled.lacks(Mechanism::Yielding);
@@ -163,18 +164,19 @@
             return 0;
         }
         let busy = |class: ids::Class| {
-            let lines = self.pools.values().flat_map(|pool| &pool.lines);
-            lines.filter(|line| line.class == class).any(|line| line.len() > 0)
+            let queues = self.pools.values().flat_map(|pool| &pool.queues);
+            queues.filter(|queue| queue.class == class).any(|queue| queue.len() > 0)
         };
         if !busy(class) {
-            let other_lines = self.pools.values().flat_map(|pool| &pool.lines);
-            let others = other_lines.filter(|line| line.tier == tier && line.len() > 0);
-            let floor = others.map(|line| self.fair.class(line.class)).min().unwrap_or(0);
+            let other_queues = self.pools.values().flat_map(|pool| &pool.queues);
+            let others = other_queues.filter(|queue| queue.tier == tier && queue.len() > 0);
+            let floor = others.map(|queue| self.fair.class_counter(queue.class)).min().unwrap_or(0);
             self.fair.lift_class(class, floor);
         }
-        let line = self.pools[pool].line(tier, class);
-        let first = line.fresh.floor().into_iter().chain(line.late.floor()).min();
-        let floor = first.unwrap_or(line.floor);
+        let queue = self.pools[pool].queue_mut(tier, class);
+        let first =
+            queue.on_time.lowest_counter().into_iter().chain(queue.late.lowest_counter()).min();
+        let floor = first.unwrap_or(queue.last_counter);
         self.fair.lift_workspace(class, lane, floor)
     }
 
@@ -190,7 +192,7 @@
         let pending = &self.jobs[job];
         let entry = pending.queue_entry(job, self.lane_key(pending.request.workspace));
         let (tier, class) = (pending.tier, pending.request.class);
-        if self.pools[pending.pool].line(tier, class).band(late).remove(entry) {
+        if self.pools[pending.pool].queue_mut(tier, class).lanes_mut(late).remove(entry) {
             self.waiting -= 1;
         }
     }
@@ -215,26 +217,26 @@
         let left = pending.latest_send.saturating_duration_since(now).as_secs_f64();
         let (mut above, mut tokens_above, mut weights) = (0.0, 0, 0);
         let own = self.classes.get(pending.request.class).map_or(1, |class| class.weight);
-        for line in &pool.lines {
-            if line.tier < pending.tier {
-                above += line.flow.rate(left, now);
-                tokens_above += line.tokens();
-            } else if line.class == pending.request.class {
+        for queue in &pool.queues {
+            if queue.tier < pending.tier {
+                above += queue.throughput.rate(left, now);
+                tokens_above += queue.tokens();
+            } else if queue.class == pending.request.class {
                 ahead = match lane {
                     Some(lane) => {
-                        let (_, tokens) = line.fresh.lane(lane);
-                        let lanes = line.fresh.lanes().max(1) as u64;
-                        line.fresh.tokens().min(lanes * (tokens + u64::from(pending.tokens)))
+                        let (_, tokens) = queue.on_time.lane_size(lane);
+                        let lanes = queue.on_time.lane_count().max(1) as u64;
+                        queue.on_time.tokens().min(lanes * (tokens + u64::from(pending.tokens)))
                     }
-                    None => line.tokens(),
+                    None => queue.tokens(),
                 };
-            } else if line.tier == pending.tier && line.len() > 0 {
-                weights += self.classes.get(line.class).map_or(1, |class| class.weight);
+            } else if queue.tier == pending.tier && queue.len() > 0 {
+                weights += self.classes.get(queue.class).map_or(1, |class| class.weight);
             }
         }
         let share = f64::from(own) / f64::from(own + weights);
-        let higher = forecast::wait(tokens_above, pool.rate, 0.0);
-        higher + forecast::wait(ahead, pool.rate * share, above * share)
+        let higher = forecast::wait_seconds(tokens_above, pool.token_rate, 0.0);
+        higher + forecast::wait_seconds(ahead, pool.token_rate * share, above * share)
     }
 
     /// Whether a request will be sent in time because its class reaches its longest wait: it is the only
@@ -244,9 +246,9 @@
             return false;
         }
         let class = pending.request.class;
-        let lines = self.pools.values().flat_map(|pool| &pool.lines);
+        let queues = self.pools.values().flat_map(|pool| &pool.queues);
         let only_one =
-            lines.filter(|line| line.class == class).map(|l| l.len()).sum::<usize>() <= 1;
+            queues.filter(|queue| queue.class == class).map(|l| l.len()).sum::<usize>() <= 1;
         let since = self.unserved.get(class).and_then(|unserved| unserved.since);
         let longest = self.classes.get(class).map_or(Duration::MAX, |class| class.longest_wait);
         only_one && since.is_some_and(|since| since + longest <= pending.latest_send)
@@ -269,7 +271,7 @@
         let wait = self.forecast_wait(pending, None, now);
         let lifetime = pending.latest_send.saturating_duration_since(pending.request.arrived);
         let spread = crate::pick::mix64(slotmap::Key::data(&job).as_ffi()) as f64 / u64::MAX as f64;
-        forecast::again(wait, lifetime.as_secs_f64() / 2.0, spread)
+        forecast::retry_after(wait, lifetime.as_secs_f64() / 2.0, spread)
     }
 
     /// Displaces another request if the queue is full; returns whether there is room.
@@ -280,7 +282,7 @@
             return true;
         }
         let (tier, class, lane) = (pending.tier, pending.request.class, pending.request.workspace);
-        let own = self.pools[pending.pool].line(tier, class).fresh.lane(lane).0;
+        let own = self.pools[pending.pool].queue_mut(tier, class).on_time.lane_size(lane).0;
         let Some(victim) = self.displacement_victim(tier, own) else { return false };
         self.refuse(victim, Refusal::Displaced, now);
         true
@@ -288,8 +290,8 @@
 
     /// The request to displace for one of `tier` whose own lane holds `own` requests.
     fn displacement_victim(&self, tier: u8, own: usize) -> Option<ids::Job> {
-        let lines = || self.pools.values().flat_map(|pool| &pool.lines).filter(|l| l.len() > 0);
-        let lowest = lines().map(|line| line.tier).max()?;
+        let queues = || self.pools.values().flat_map(|pool| &pool.queues).filter(|l| l.len() > 0);
+        let lowest = queues().map(|queue| queue.tier).max()?;
         if let Some((backoff_tier, job)) = self.backing_off.last()
             && *backoff_tier > tier.max(lowest)
         {
@@ -298,19 +300,19 @@
         if lowest < tier {
             return None;
         }
-        let bands = || {
-            let lines = lines().filter(|line| line.tier == lowest);
-            lines.flat_map(|line| [&line.late, &line.fresh])
+        let lanes = || {
+            let queues = queues().filter(|queue| queue.tier == lowest);
+            queues.flat_map(|queue| [&queue.late, &queue.on_time])
         };
-        let late = || lines().filter(|l| l.tier == lowest).map(|l| &l.late).find(|b| b.len() > 0);
+        let late = || queues().filter(|l| l.tier == lowest).map(|l| &l.late).find(|b| b.len() > 0);
         if lowest > tier {
-            let longest = bands().max_by_key(|band| band.longest());
-            return late().or(longest)?.tail();
+            let longest = lanes().max_by_key(|lanes| lanes.longest_lane());
+            return late().or(longest)?.victim();
         }
         if !self.disabled.lacks(Mechanism::Fairness) {
             return None;
         }
-        let longest = bands().max_by_key(|band| band.longest())?;
-        if longest.longest() > own + MIN_LANE_EXCESS { longest.tail() } else { None }
+        let longest = lanes().max_by_key(|lanes| lanes.longest_lane())?;
+        if longest.longest_lane() > own + MIN_LANE_EXCESS { longest.victim() } else { None }
     }
 }
--- a/components/policy/src/attempt.rs
+++ b/components/policy/src/attempt.rs
@@ -67,7 +67,7 @@
         if !repeatable || pending.attempts >= max_attempts || now >= pending.latest_send {
             return false;
         }
-        !self.disabled.lacks(Mechanism::RetryBudget) || self.retry_budget(model).take(1.0)
+        !self.disabled.lacks(Mechanism::RetryBudget) || self.retry_budget(model).try_take(1.0)
     }
 
     /// Frees the slot of an ended attempt, updates the server's health, and corrects the charge to the
@@ -80,17 +80,17 @@
         if let Some(state) = self.servers.get_mut(server) {
             state.record_end(job, priority, now);
             if stalled {
-                state.health.ended(false, now);
-                state.health.hung(self.jobs[job].sent_at, now, jitter);
+                state.health.record_outcome(false, now);
+                state.health.record_stall(self.jobs[job].sent_at, now, jitter);
             }
             state.prefill.prompt_done(priority, prefill);
             if !matches!(ending, Ending::Cancelled | Ending::Stopped) {
-                state.health.ended(ending == Ending::Completed, now);
+                state.health.record_outcome(ending == Ending::Completed, now);
             }
             match ending {
-                Ending::Completed => state.health.good(),
+                Ending::Completed => state.health.record_response(),
                 Ending::NotRun | Ending::Unreached | Ending::Failed => {
-                    state.health.failed(now, jitter);
+                    state.health.record_failure(now, jitter);
                 }
                 Ending::Cancelled | Ending::Stopped | Ending::ServerError => {}
             }
@@ -107,7 +107,7 @@
         let produced = pending.produced;
         self.charge_tokens(class, workspace, change);
         if ending == Ending::Completed && produced > 0 {
-            self.lengths.add(class, workspace, produced);
+            self.lengths.record(class, workspace, produced);
         }
         if let Some(count) = self.in_flight.get_mut(workspace) {
             *count = count.saturating_sub(1);
--- a/components/policy/src/dispatch.rs
+++ b/components/policy/src/dispatch.rs
@@ -14,15 +14,15 @@
 use crate::mechanism::Mechanism;
 use crate::pending::{Pending, Stage};
 use crate::pick::{self, Candidate};
-use crate::pool::{Key, Line};
+use crate::pool::{Key, Queue};
 use crate::scheduler::Scheduler;
 use crate::server::{self, DEFAULT_FIRST_TOKEN_SECONDS, DEFAULT_TOKEN_SECONDS};
 
 /// Interval at which forecasts and other time-dependent state are updated while the scheduler has
 /// requests: well under every first-token target, and a tenth of the interval between load reports.
 pub(crate) const TICK: Duration = Duration::from_millis(50);
-/// Most requests of a line refused in one tick, so that no call takes long.
-const MAX_REFUSALS_PER_LINE: usize = 64;
+/// Most requests of a queue refused in one tick, so that no call takes long.
+const MAX_REFUSALS_PER_QUEUE: usize = 64;
 /// A server is a straggler if its token interval is more than this many times the median of its pool.
 /// Differences in batch size alone stay below it.
 pub(crate) const STRAGGLER_RATIO: f64 = 2.0;
@@ -57,8 +57,8 @@
     NoServer,
 }
 
-/// A line by its pool and index, and whether its class is served ahead of its turn.
-type LineChoice = (Key, usize, bool);
+/// A queue by its pool and index, and whether its class is served ahead of its turn.
+type QueueChoice = (Key, usize, bool);
 
 impl Scheduler {
     /// Updates time-dependent state if a tick is due; returns whether it was.
@@ -67,13 +67,13 @@
             return false;
         }
         let last = self.last_tick.replace(now).unwrap_or(now);
-        let lines = self.pools.values().flat_map(|pool| &pool.lines);
-        let waiting = lines.map(|line| (line.class, line.len()));
+        let queues = self.pools.values().flat_map(|pool| &pool.queues);
+        let waiting = queues.map(|queue| (queue.class, queue.len()));
         let sent = self.servers.values().flat_map(|state| &state.jobs);
         let sent = sent.filter_map(|job| self.jobs.get(*job)).map(|pending| pending.request.class);
         self.demand.add_sample(waiting, sent, now.saturating_duration_since(last));
         self.epoch += 1;
-        self.link_budget.flow(self.limits.link_bytes as f64, now);
+        self.link_budget.refill(self.limits.link_bytes as f64, now);
         for key in self.pools.keys().collect::<Vec<_>>() {
             self.update_isolation(key, now);
             self.update_capacity(key);
@@ -111,17 +111,19 @@
             firsts.extend(state.first_token_time());
         }
         let pool = &mut self.pools[key];
-        pool.rate = rate;
-        pool.interval = median(&mut intervals).unwrap_or(DEFAULT_TOKEN_SECONDS);
-        pool.first = median(&mut firsts).unwrap_or(DEFAULT_FIRST_TOKEN_SECONDS);
+        pool.token_rate = rate;
+        pool.token_interval = median(&mut intervals).unwrap_or(DEFAULT_TOKEN_SECONDS);
+        pool.first_token_time = median(&mut firsts).unwrap_or(DEFAULT_FIRST_TOKEN_SECONDS);
     }
 
-    /// Refuses requests whose forecast wait is too long, from the end of each line.
+    /// Refuses requests whose forecast wait is too long, from the end of each queue.
     fn refuse_hopeless(&mut self, key: Key, now: Instant) {
-        for index in 0..self.pools[key].lines.len() {
-            for _ in 0..MAX_REFUSALS_PER_LINE {
-                let line = &self.pools[key].lines[index];
-                let Some(job) = line.late.tail().or_else(|| line.fresh.tail()) else { break };
+        for index in 0..self.pools[key].queues.len() {
+            for _ in 0..MAX_REFUSALS_PER_QUEUE {
+                let queue = &self.pools[key].queues[index];
+                let Some(job) = queue.late.victim().or_else(|| queue.on_time.victim()) else {
+                    break;
+                };
                 let pending = &self.jobs[job];
                 let wait = self.forecast_wait(pending, None, now);
                 let left = pending.latest_send.saturating_duration_since(now).as_secs_f64();
@@ -159,35 +161,35 @@
 
     /// Sends waiting requests, in order, to servers that can take them.
     pub(crate) fn dispatch(&mut self, now: Instant, actions: &mut Vec<Action>) {
-        while let Some((pool, index, overdue)) = self.next_line(now) {
-            let line = &mut self.pools[pool].lines[index];
-            let Some(job) = line.head() else { break };
-            line.blocked = self.epoch;
+        while let Some((pool, index, overdue)) = self.next_queue(now) {
+            let queue = &mut self.pools[pool].queues[index];
+            let Some(job) = queue.peek() else { break };
+            queue.blocked_epoch = self.epoch;
             match self.choose_server(job, overdue, now) {
                 Choice::Busy => {}
-                Choice::Full => self.pools[pool].full = self.epoch,
+                Choice::Full => self.pools[pool].full_epoch = self.epoch,
                 Choice::NoServer => self.refuse(job, Refusal::NoServer, now),
                 Choice::Server(server) => {
                     self.jobs[job].ahead_of_turn |= overdue;
                     self.send_to(job, server, now);
-                    self.pools[pool].lines[index].blocked = 0;
+                    self.pools[pool].queues[index].blocked_epoch = 0;
                     actions.push(Action::Send { job, server });
                 }
             }
         }
     }
 
-    /// The line to serve next, among those that may find a slot.
-    fn next_line(&self, now: Instant) -> Option<LineChoice> {
-        let mut best: Option<((bool, u8, u64), LineChoice)> = None;
+    /// The queue to serve next, among those that may find a slot.
+    fn next_queue(&self, now: Instant) -> Option<QueueChoice> {
+        let mut best: Option<((bool, u8, u64), QueueChoice)> = None;
         for (key, pool) in &self.pools {
-            for (index, line) in pool.lines.iter().enumerate() {
-                let full = pool.full == self.epoch && line.tier != self.highest_tier;
-                if full || line.blocked == self.epoch || line.head().is_none() {
+            for (index, queue) in pool.queues.iter().enumerate() {
+                let full = pool.full_epoch == self.epoch && queue.tier != self.highest_tier;
+                if full || queue.blocked_epoch == self.epoch || queue.peek().is_none() {
                     continue;
                 }
-                let overdue = self.is_overdue(line, now);
-                let order = (!overdue, line.tier, self.fair.class(line.class));
+                let overdue = self.is_overdue(queue, now);
+                let order = (!overdue, queue.tier, self.fair.class_counter(queue.class));
                 if best.as_ref().is_none_or(|(first, ..)| order < *first) {
                     best = Some((order, (key, index, overdue)));
                 }
@@ -196,13 +198,13 @@
         best.map(|(_, choice)| choice)
     }
 
-    /// Whether the class of a line has gone unserved for its longest wait.
-    fn is_overdue(&self, line: &Line, now: Instant) -> bool {
+    /// Whether the class of a queue has gone unserved for its longest wait.
+    fn is_overdue(&self, queue: &Queue, now: Instant) -> bool {
         if !self.disabled.lacks(Mechanism::LongestWait) {
             return false;
         }
-        let since = self.unserved.get(line.class).and_then(|unserved| unserved.since);
-        let longest = self.classes.get(line.class).map(|class| class.longest_wait);
+        let since = self.unserved.get(queue.class).and_then(|unserved| unserved.since);
+        let longest = self.classes.get(queue.class).map(|class| class.longest_wait);
         since.zip(longest).is_some_and(|(since, longest)| now >= since + longest)
     }
 
@@ -268,14 +270,14 @@
                 continue;
             }
             let interval = state.token_interval();
-            let straggles = interval > pool.interval * STRAGGLER_RATIO;
+            let straggles = interval > pool.token_interval * STRAGGLER_RATIO;
             let tokens = if straggles { straggler_tokens } else { tokens };
             let load = state.load(now, self.disabled);
             let excess = (load + 1.0 - f64::from(state.slots())).max(0.0);
-            let queue =
-                excess * pool.service(TYPICAL_ANSWER_TOKENS) / f64::from(state.slots().max(1));
-            let time = queue
-                + state.first_token_time().unwrap_or(pool.first)
+            let queue_seconds = excess * pool.service_seconds(TYPICAL_ANSWER_TOKENS)
+                / f64::from(state.slots().max(1));
+            let time = queue_seconds
+                + state.first_token_time().unwrap_or(pool.first_token_time)
                 + interval * f64::from(tokens);
             if time > left && !overdue && self.disabled.lacks(Mechanism::DeadlineFit) {
                 continue;
@@ -331,21 +333,21 @@
     pub(crate) fn failure_rate(&self, state: &server::State, now: Instant) -> f64 {
         let enabled =
             self.disabled.lacks(Mechanism::Ejection) && self.disabled.lacks(Mechanism::FailureRate);
-        if enabled { state.health.faults(now) } else { 0.0 }
+        if enabled { state.health.failure_rate(now) } else { 0.0 }
     }
 
     /// Whether a server is ejected after failures, or its reports have stopped.
     pub(crate) fn is_ejected(&self, server: ids::Server, now: Instant) -> bool {
         let state = &self.servers[server];
         self.disabled.lacks(Mechanism::Ejection)
-            && (state.health.ejected(now) || state.reports_stopped(now))
+            && (state.health.is_ejected(now) || state.reports_stopped(now))
     }
 
     /// Whether a server gets no requests: it is ejected, or it was and the one request that tests whether it
     /// has recovered is still running.
     pub(crate) fn is_excluded(&self, server: ids::Server, now: Instant) -> bool {
         let state = &self.servers[server];
-        let testing = state.health.probed() && state.sent > 0;
+        let testing = state.health.is_on_probation() && state.sent > 0;
         self.is_ejected(server, now) || (self.disabled.lacks(Mechanism::Ejection) && testing)
     }
 
@@ -356,7 +358,7 @@
             self.classes.get(pending.request.class).map_or(Duration::ZERO, |c| c.first_token);
         let waited = now.saturating_duration_since(pending.request.arrived);
         let reserve = (f64::from(pending.tier) * LINK_RESERVE_PER_TIER).min(0.8);
-        let affordable = self.link_budget.part() > reserve;
+        let affordable = self.link_budget.fill_ratio() > reserve;
         affordable && (!near || waited >= target.mul_f64(CROSSING_DELAY))
     }
 
@@ -379,16 +381,16 @@
         let far = self.servers[server].terms.region != pending.request.region;
         self.servers[server].record_send(job, priority, now);
         let lane = self.lane_key(workspace);
-        let counter = self.fair.workspace(class, lane);
-        let line = self.pools[pool].line(tier, class);
-        line.flow.add(tokens, now);
-        line.floor = line.floor.max(counter);
-        let waits = line.len() > 0;
+        let counter = self.fair.workspace_counter(class, lane);
+        let queue = self.pools[pool].queue_mut(tier, class);
+        queue.throughput.record(tokens, now);
+        queue.last_counter = queue.last_counter.max(counter);
+        let waits = queue.len() > 0;
         if let Some(unserved) = self.unserved.get_mut(class) {
             unserved.since = waits.then_some(now);
         }
         if far {
-            self.link_budget.owe(f64::from(bytes));
+            self.link_budget.overdraw(f64::from(bytes));
         }
         if first {
             let earned = f64::from(self.limits.retry_percent) / 100.0;
--- a/components/policy/src/scheduler.rs
+++ b/components/policy/src/scheduler.rs
@@ -11,7 +11,7 @@
 use crate::bucket::Bucket;
 use crate::cache;
 use crate::demand::Averages;
-use crate::fair::{self, Fair};
+use crate::fair::{self, Counters};
 use crate::isolation::GROUPS;
 use crate::length::Lengths;
 use crate::mechanism::{Disabled, Mechanism};
@@ -49,7 +49,7 @@
     pub(crate) pool_index: HashMap<(ids::Model, Vec<ids::Server>), Key>,
     pub(crate) unserved: SecondaryMap<ids::Class, Unserved>,
     pub(crate) in_flight: SecondaryMap<ids::Workspace, u32>,
-    pub(crate) fair: Fair,
+    pub(crate) fair: Counters,
     pub(crate) lengths: Lengths,
     /// By model, so that requests to one service don't earn retries at another.
     pub(crate) retry_budgets: SecondaryMap<ids::Model, Bucket>,
@@ -114,7 +114,7 @@
             pool_index: HashMap::new(),
             unserved: SecondaryMap::new(),
             in_flight: SecondaryMap::new(),
-            fair: Fair::default(),
+            fair: Counters::default(),
             lengths: Lengths::default(),
             retry_budgets: SecondaryMap::new(),
             link_budget: Bucket::new(0.0),
@@ -162,7 +162,7 @@
         if limits.retry_burst != self.limits.retry_burst {
             self.retry_budgets.clear();
         }
-        if limits != self.limits || self.link_budget.part() == 0.0 {
+        if limits != self.limits || self.link_budget.fill_ratio() == 0.0 {
             self.link_budget = Bucket::new(limits.link_bytes as f64 * LINK_BURST_SECONDS);
         }
         self.limits = limits;
@@ -362,11 +362,11 @@
         let class_weight = self.classes.get(class).map_or(1, |class| class.weight);
         let weight = self.workspaces.get(workspace).map_or(1, |w| w.weight);
         self.fair.charge((class, class_weight), (workspace, weight), tokens);
-        let counter = self.fair.workspace(class, workspace);
-        for line in self.pools.values_mut().flat_map(|pool| &mut pool.lines) {
-            if line.class == class {
-                line.fresh.rekey(workspace, counter);
-                line.late.rekey(workspace, counter);
+        let counter = self.fair.workspace_counter(class, workspace);
+        for queue in self.pools.values_mut().flat_map(|pool| &mut pool.queues) {
+            if queue.class == class {
+                queue.on_time.set_counter(workspace, counter);
+                queue.late.set_counter(workspace, counter);
             }
         }
     }
@@ -383,9 +383,9 @@
         if lane != workspace {
             return;
         }
-        for line in self.pools.values_mut().flat_map(|pool| &mut pool.lines) {
-            line.fresh.set_open(workspace, open);
-            line.late.set_open(workspace, open);
+        for queue in self.pools.values_mut().flat_map(|pool| &mut pool.queues) {
+            queue.on_time.set_open(workspace, open);
+            queue.late.set_open(workspace, open);
         }
     }
 
@@ -469,7 +469,7 @@
         let (class, workspace, sent) =
             (pending.request.class, pending.request.workspace, pending.sent_at);
         if let Some(state) = self.servers.get_mut(server) {
-            state.health.good();
+            state.health.record_response();
             match last {
                 None => {
                     let took = now.saturating_duration_since(sent);
--- a/components/policy/src/stop.rs
+++ b/components/policy/src/stop.rs
@@ -70,20 +70,21 @@
         let waited = now.saturating_duration_since(pending.sent_at);
         let queued =
             pending.produced == 0 && waited >= class.first_token.mul_f64(ENGINE_QUEUE_PART);
-        let reachable = self.target_seconds_left(pending, now) > self.pools[pending.pool].first;
+        let reachable =
+            self.target_seconds_left(pending, now) > self.pools[pending.pool].first_token_time;
         (queued && reachable).then_some((server, pending.pool, pending.tier))
     }
 
     /// The stream to stop for the next request that waits for a pool, if that request is at risk.
     fn victim_in_pool(&self, key: Key, now: Instant) -> Option<ids::Job> {
-        let line = self.pools[key].lines.iter().find(|line| line.fresh.head().is_some())?;
-        let pending = &self.jobs[line.fresh.head()?];
+        let queue = self.pools[key].queues.iter().find(|queue| queue.on_time.peek().is_some())?;
+        let pending = &self.jobs[queue.on_time.peek()?];
         if !self.target_at_risk(pending, now) {
             return None;
         }
         let (best, stopping) = self.cheapest_victim(key, pending.tier, None, now);
         // At most one stop per waiting request.
-        best.filter(|_| stopping < line.fresh.len())
+        best.filter(|_| stopping < queue.on_time.len())
     }
 
     /// The stream of a tier below `tier` that costs least to stop, at one server or any server of a pool,
@@ -133,7 +134,7 @@
         let Some(class) = self.classes.get(pending.request.class) else { return false };
         let waited = now.saturating_duration_since(pending.request.arrived);
         let late = waited >= class.first_token.mul_f64(AT_RISK_PART);
-        late && self.target_seconds_left(pending, now) > self.pools[pending.pool].first
+        late && self.target_seconds_left(pending, now) > self.pools[pending.pool].first_token_time
     }
 
     /// Whether a server probably has no free slot for this node.
@@ -149,13 +150,13 @@
     fn can_be_stopped(&self, pending: &Pending, server: ids::Server, now: Instant) -> bool {
         let state = self.servers.get(server);
         // A slot at a straggler is too slow to meet a target.
-        let max_interval = self.pools[pending.pool].interval * STRAGGLER_RATIO;
+        let max_interval = self.pools[pending.pool].token_interval * STRAGGLER_RATIO;
         let is_useful = |state: &server::State| {
             state.token_interval() <= max_interval && self.is_filled(state, now)
         };
         let left = pending.request.deadline.saturating_duration_since(now).as_secs_f64();
-        let needed =
-            self.pools[pending.pool].service(self.remaining_tokens(pending, 0.5)) * TIME_MARGIN;
+        let needed = self.pools[pending.pool].service_seconds(self.remaining_tokens(pending, 0.5))
+            * TIME_MARGIN;
         // A request sent because of its class's longest wait runs to its end: the class may get no other.
         let stoppable = !pending.stopping
             && !pending.ahead_of_turn
