--- a/components/policy/src/action.rs
+++ b/components/policy/src/action.rs
@@ -9,7 +9,7 @@
     pub enum Refusal {
         /// The queue is full and no request of a lower tier can be displaced.
         Full,
-        /// Displaced from the queue by a request of a higher tier, or of a workspace that waits with fewer.
+        /// Displaced from the queue by a request of a higher tier, or of a workspace with fewer waiting requests.
         Displaced,
         /// It can't be served before its deadline.
         Late,
--- a/components/policy/src/admit.rs
+++ b/components/policy/src/admit.rs
@@ -23,7 +23,7 @@
 const NO_SERVER_RETRY_AFTER: Duration = Duration::from_secs(1);
 /// A request displaces another of its own tier only from a lane that is longer than its own by more than
 /// this, so that two workspaces don't displace each other in turn.
-const MIN_LANE_EXCESS: usize = 1;
+const LANE_LENGTH_MARGIN: usize = 1;
 
 /// A request counts as late once less than this many times the median time to a first token is left of
 /// its target. The margin is about the spread of prompt lengths.
@@ -33,8 +33,8 @@
 /// requests are sent about as late as this allows, since the longest waiting go first; at the median,
 /// half of them would miss their deadline.
 pub(crate) const LENGTH_QUANTILE: f64 = 0.8;
-/// A request is refused early only if its forecast wait is this many times the time it has left. A
-/// forecast that is too long costs an answer; one that is too short costs only the caller's time.
+/// A request is refused early only if its forecast wait is more than this many times the time it has
+/// left. A forecast that is too long costs an answer; one that is too short costs only the caller's time.
 pub(crate) const FORECAST_MARGIN: f64 = 2.5;
 
 impl Scheduler {
@@ -313,6 +313,6 @@
             return None;
         }
         let longest = lanes().max_by_key(|lanes| lanes.longest_lane())?;
-        if longest.longest_lane() > own + MIN_LANE_EXCESS { longest.victim() } else { None }
+        if longest.longest_lane() > own + LANE_LENGTH_MARGIN { longest.victim() } else { None }
     }
 }
--- a/components/policy/src/dispatch.rs
+++ b/components/policy/src/dispatch.rs
@@ -78,7 +78,7 @@
             self.update_isolation(key, now);
             self.update_capacity(key);
             if self.disabled.lacks(Mechanism::EarlyRefusal) {
-                self.refuse_hopeless(key, now);
+                self.refuse_late(key, now);
             }
         }
         true
@@ -117,7 +117,7 @@
     }
 
     /// Refuses requests whose forecast wait is too long, from the end of each queue.
-    fn refuse_hopeless(&mut self, key: Key, now: Instant) {
+    fn refuse_late(&mut self, key: Key, now: Instant) {
         for index in 0..self.pools[key].queues.len() {
             for _ in 0..MAX_REFUSALS_PER_QUEUE {
                 let queue = &self.pools[key].queues[index];
--- a/components/policy/src/stop.rs
+++ b/components/policy/src/stop.rs
@@ -30,7 +30,7 @@
 /// Most stops per pool and tick, so that a burst doesn't stop all streams of a pool at once.
 const MAX_STOPS_PER_POOL: usize = 2;
 /// Most stops per tick for requests that were already sent, so that no call takes long.
-const MAX_OVERFLOW_STOPS: usize = 16;
+const MAX_ENGINE_QUEUE_STOPS: usize = 16;
 /// A sent request without a token after this part of its target is taken to wait in the engine's queue,
 /// because the server was fuller than known. First tokens usually arrive in about half that time.
 const ENGINE_QUEUE_PART: f64 = 0.25;
@@ -53,7 +53,7 @@
         let sent = self.servers.values().flat_map(|state| &state.jobs);
         let sent = sent.filter_map(|job| self.jobs.get(*job));
         let queued = sent.filter_map(|pending| self.queued_at_engine(pending, now));
-        let queued: Vec<_> = queued.take(MAX_OVERFLOW_STOPS).collect();
+        let queued: Vec<_> = queued.take(MAX_ENGINE_QUEUE_STOPS).collect();
         for (server, pool, tier) in queued {
             if let Some(victim) = self.cheapest_victim(pool, tier, Some(server), now).0 {
                 self.jobs[victim].stopping = true;
--- a/components/policy/src/terms.rs
+++ b/components/policy/src/terms.rs
@@ -112,7 +112,8 @@
         pub overdue: Vec<f64>,
         /// Slots that their requests occupy or wait for.
         pub occupied: Vec<f64>,
-        /// Time since the last first token from the engine; none if there was none recently.
+        /// Time since the engine was last seen to produce the first token of an answer; none if it wasn't
+        /// recently.
         pub since_first_token: Option<Duration>,
     }
 
--- a/components/policy/tests/promises.rs
+++ b/components/policy/tests/promises.rs
@@ -22,7 +22,7 @@
 /// Bounds for one load pattern, on means over the seeds.
 struct Promise {
     pattern: &'static str,
-    /// Minimum attainment of the top tier, over the calls whose node was running within their target.
+    /// Minimum attainment of the top tier, over the calls whose node ran at some time within their target.
     top: f64,
     /// Minimum goodput, as a ratio to the better baseline's.
     goodput: f64,
--- a/components/policy/tests/properties.rs
+++ b/components/policy/tests/properties.rs
@@ -284,8 +284,8 @@
     assert_eq!(actions.len(), 4);
 }
 
-/// All servers for a model are leaving. Guards against callers that wait in vain instead of getting a
-/// refusal at once.
+/// All servers for a model are leaving, which is the same as if it had none. Guards against callers that
+/// wait in vain instead of getting a refusal at once.
 #[test]
 fn errors_on_a_model_that_no_server_may_run() {
     let mut fixture = Fixture::new(1, 1, 8, 100);
