--- a/components/policy/src/cache.rs
+++ b/components/policy/src/cache.rs
@@ -1,50 +1,54 @@
-//! Index of the prefix caches of engines: which of them caches which parts of prompts, as far as known.
+//! Indexes the prefix caches of engines: which of them caches which parts of prompts, as far as known.
 //!
 //! Load pattern: sessions with long prefixes that many requests share. An engine that has prefilled one caches
 //! it for a while, and another one can fetch it in a fraction of the time that prefilling takes. Without this a
 //! request that leaves its preferred engine costs the engines three times its own prefill, and one that stays
 //! waits behind all others.
 //!
-//! A part is cached once an engine has begun to answer for it. One that was only sent there will be, so the
-//! next requests follow, but nobody can fetch it yet. A part that wasn't used for a while may be evicted.
+//! A part is cached once an engine has sent the first token of an answer for it. One that was only sent there
+//! will be, so the next requests follow, but no engine can fetch it yet. A part that wasn't used for a while may
+//! be evicted.
 
 use std::collections::{HashMap, VecDeque};
 use std::time::{Duration, Instant};
 
 use crate::terms::{Cached, Part, Request};
 
-/// Time after its last use for which a part is taken to be cached.
-const KEEPS: Duration = Duration::from_secs(10);
+/// Time after its last use for which a part counts as cached.
+const RETENTION: Duration = Duration::from_secs(10);
 /// Time after which a part that is still in use is reported again.
-const REPEATED: Duration = Duration::from_secs(5);
+const REPORT_AGAIN_AFTER: Duration = Duration::from_secs(5);
 /// Time for which a part is contained in each report, as one may be lost.
 const REPORTED_FOR: Duration = Duration::from_millis(600);
 /// Shortest part that is reported, in tokens.
-const WORTH: u32 = 1_500;
-/// Parts in the index at most, against a flood of them.
-const PARTS: usize = 10_000;
+const MIN_REPORTED_TOKENS: u32 = 1_500;
+/// Most parts in the index, which bounds its memory.
+const MAX_PARTS: usize = 10_000;
 
 /// A part at an engine.
 #[derive(Clone, Copy, Debug)]
 struct Entry {
     server: ids::Server,
-    /// It was prefilled; else it was only sent there.
-    read: bool,
+    /// Whether it was prefilled; else it was only sent there.
+    prefilled: bool,
     used: Instant,
-    /// When other nodes learnt of it.
+    /// When it was last reported to other nodes, or by one of them.
     reported: Option<Instant>,
 }
 
 /// The parts of prompts that engines cache.
 #[derive(Debug, Default)]
 pub(crate) struct Index {
+    /// By the part's identifier.
     parts: HashMap<u64, Vec<Entry>>,
+    /// Parts to report, and since when, in that order.
     updates: VecDeque<(Instant, Cached)>,
     swept: Option<Instant>,
 }
 
 impl Index {
-    /// A request was sent to an engine, which will cache the parts that it shares with others.
+    /// Records that a request was sent to an engine, which will cache the parts that it shares with
+    /// others.
     pub(crate) fn record_send(&mut self, request: &Request, server: ids::Server, now: Instant) {
         self.sweep(now);
         for part in &request.shared {
@@ -52,13 +56,14 @@
         }
     }
 
-    /// An engine has begun to answer a request, so it has read its prompt.
+    /// Records that an engine has sent the first token for a request, so that it caches the prompt's
+    /// parts.
     pub(crate) fn record_prefill(&mut self, request: &Request, server: ids::Server, now: Instant) {
         for part in &request.shared {
             let entry = self.entry(part.id, server, now);
-            (entry.read, entry.used) = (true, now);
-            let recent = entry.reported.is_some_and(|reported| now < reported + REPEATED);
-            if part.tokens >= WORTH && !recent {
+            (entry.prefilled, entry.used) = (true, now);
+            let recent = entry.reported.is_some_and(|reported| now < reported + REPORT_AGAIN_AFTER);
+            if part.tokens >= MIN_REPORTED_TOKENS && !recent {
                 entry.reported = Some(now);
                 self.updates.push_back((now, Cached { server, part: part.id }));
             }
@@ -66,94 +71,101 @@
         self.drop_old_updates(now);
     }
 
-    /// Another node reported that an engine caches a part.
+    /// Takes in that another node reported a part as cached.
     pub(crate) fn apply_update(&mut self, cached: Cached, now: Instant) {
         let entry = self.entry(cached.part, cached.server, now);
-        (entry.read, entry.used, entry.reported) = (true, now, Some(now));
+        (entry.prefilled, entry.used, entry.reported) = (true, now, Some(now));
     }
 
-    /// What other nodes lack.
+    /// Parts to report to other nodes.
     pub(crate) fn updates(&mut self, now: Instant) -> Vec<Cached> {
         self.drop_old_updates(now);
-        self.updates.iter().map(|(_, holding)| *holding).collect()
+        self.updates.iter().map(|(_, cached)| *cached).collect()
     }
 
-    /// Keeps updates from piling up in a node that reports nothing.
+    /// Drops updates that were reported for long enough, also in a node that reports nothing, where they
+    /// would pile up.
     fn drop_old_updates(&mut self, now: Instant) {
         while self.updates.front().is_some_and(|(at, _)| now >= *at + REPORTED_FOR) {
             self.updates.pop_front();
         }
     }
 
-    /// An engine is gone, or has lost all that it kept.
+    /// Removes all entries of an engine that is gone or has lost its cache.
     pub(crate) fn remove_server(&mut self, server: ids::Server) {
-        for holders in self.parts.values_mut() {
-            holders.retain(|holder| holder.server != server);
+        for entries in self.parts.values_mut() {
+            entries.retain(|entry| entry.server != server);
         }
     }
 
+    /// The entry of a part at an engine, added if there is none or it is older than [`RETENTION`].
     fn entry(&mut self, part: u64, server: ids::Server, now: Instant) -> &mut Entry {
-        let holders = self.parts.entry(part).or_default();
-        let found = holders.iter().position(|holder| holder.server == server);
+        let entries = self.parts.entry(part).or_default();
+        let found = entries.iter().position(|entry| entry.server == server);
         let index = found.unwrap_or_else(|| {
-            holders.push(Entry { server, read: false, used: now, reported: None });
-            holders.len() - 1
+            entries.push(Entry { server, prefilled: false, used: now, reported: None });
+            entries.len() - 1
         });
-        let holder = &mut holders[index];
-        if now >= holder.used + KEEPS {
-            *holder = Entry { server, read: false, used: now, reported: None };
+        let entry = &mut entries[index];
+        if now >= entry.used + RETENTION {
+            *entry = Entry { server, prefilled: false, used: now, reported: None };
         }
-        holder
+        entry
     }
 
+    /// Drops old entries, at intervals or if there are too many parts; drops all of them if that isn't
+    /// enough.
     fn sweep(&mut self, now: Instant) {
-        let due = self.swept.is_none_or(|swept| now >= swept + KEEPS);
-        if !due && self.parts.len() < PARTS {
+        let due = self.swept.is_none_or(|swept| now >= swept + RETENTION);
+        if !due && self.parts.len() < MAX_PARTS {
             return;
         }
         self.swept = Some(now);
-        for holders in self.parts.values_mut() {
-            holders.retain(|holder| now < holder.used + KEEPS);
+        for entries in self.parts.values_mut() {
+            entries.retain(|entry| now < entry.used + RETENTION);
         }
-        self.parts.retain(|_, holders| !holders.is_empty());
-        if self.parts.len() >= PARTS {
+        self.parts.retain(|_, entries| !entries.is_empty());
+        if self.parts.len() >= MAX_PARTS {
             self.parts.clear();
         }
     }
 
-    fn find(&self, part: u64, server: ids::Server, now: Instant) -> Option<&Entry> {
-        let holders = self.parts.get(&part)?;
-        let found = holders.iter().find(|holder| holder.server == server);
-        found.filter(|holder| now < holder.used + KEEPS)
+    /// The entry of a part at an engine, if it isn't older than [`RETENTION`].
+    fn current_entry(&self, part: u64, server: ids::Server, now: Instant) -> Option<&Entry> {
+        let entries = self.parts.get(&part)?;
+        let found = entries.iter().find(|entry| entry.server == server);
+        found.filter(|entry| now < entry.used + RETENTION)
     }
 
-    /// Tokens at the start of a prompt that an engine keeps, or will once it has read what it was sent.
-    pub(crate) fn kept(&self, shared: &[Part], server: ids::Server, now: Instant) -> u32 {
-        let kept = shared.iter().take_while(|part| self.find(part.id, server, now).is_some());
-        kept.map(|part| part.tokens).sum()
+    /// Tokens at the start of a prompt that an engine caches, or will once it has prefilled what it was
+    /// sent.
+    pub(crate) fn cached_tokens(&self, shared: &[Part], server: ids::Server, now: Instant) -> u32 {
+        let cached =
+            shared.iter().take_while(|part| self.current_entry(part.id, server, now).is_some());
+        cached.map(|part| part.tokens).sum()
     }
 
-    /// The engines that keep the last part that a request shares with others, or were sent it.
+    /// The engines that cache the last part that a request shares with others, or were sent it.
     pub(crate) fn holders<'a>(
         &'a self,
         shared: &'a [Part],
     ) -> impl Iterator<Item = ids::Server> + 'a {
         let last = shared.last().and_then(|part| self.parts.get(&part.id));
-        last.into_iter().flatten().map(|holder| holder.server)
+        last.into_iter().flatten().map(|entry| entry.server)
     }
 
-    /// The engines that have read the whole of what a request shares with others.
+    /// The engines that have prefilled all parts that a request shares with others.
     pub(crate) fn sources<'a>(
         &'a self,
         shared: &'a [Part],
         now: Instant,
     ) -> impl Iterator<Item = ids::Server> + 'a {
-        let read = move |part: &Part, server| {
-            self.find(part.id, server, now).is_some_and(|holder| holder.read)
+        let prefilled = move |part: &Part, server| {
+            self.current_entry(part.id, server, now).is_some_and(|entry| entry.prefilled)
         };
         let last = shared.last().and_then(|part| self.parts.get(&part.id));
-        let holders = last.into_iter().flatten().map(|holder| holder.server);
-        holders.filter(move |server| shared.iter().all(|part| read(part, *server)))
+        let holders = last.into_iter().flatten().map(|entry| entry.server);
+        holders.filter(move |server| shared.iter().all(|part| prefilled(part, *server)))
     }
 }
 
--- a/components/policy/src/cache/tests.rs
+++ b/components/policy/src/cache/tests.rs
@@ -1,8 +1,9 @@
 use std::time::{Duration, Instant};
 
-use super::{Index, KEEPS, REPEATED, REPORTED_FOR};
+use super::{Index, REPORT_AGAIN_AFTER, REPORTED_FOR, RETENTION};
 use crate::terms::{Cached, Part, Request};
 
+/// Identifier of a part that is long enough to be reported.
 const LONG: u64 = 7;
 
 fn request() -> Request {
@@ -27,69 +28,69 @@
     [all.insert(()), all.insert(())]
 }
 
-/// All caches are empty and a rush of one session comes. While its home reads the beginning for the
-/// first, others are sent to follow, but no engine is reported to take over what isn't there yet.
+/// In a burst of one session, requests follow the first one to its engine while that prefills the prefix, but no
+/// engine fetches the prefix before it is there.
 #[test]
-fn what_was_only_sent_is_followed_and_not_taken_over() {
+fn a_part_is_no_source_until_it_is_prefilled() {
     let (mut index, now, [one, two]) = (Index::default(), Instant::now(), servers());
     let request = request();
     index.record_send(&request, one, now);
-    assert_eq!(index.kept(&request.shared, one, now), 6_400);
-    assert_eq!(index.kept(&request.shared, two, now), 0);
+    assert_eq!(index.cached_tokens(&request.shared, one, now), 6_400);
+    assert_eq!(index.cached_tokens(&request.shared, two, now), 0);
     assert_eq!(index.sources(&request.shared, now).count(), 0);
     index.record_prefill(&request, one, now);
     assert_eq!(index.sources(&request.shared, now).collect::<Vec<_>>(), [one]);
 }
 
-/// A session wasn't asked for in a while. Its engine has read other prompts since and may keep nothing of
-/// it; whoever believes otherwise waits for an engine that has to read it all.
+/// An engine may have evicted a prefix that wasn't used for a while. A request that is sent there for the prefix
+/// would wait until all of it is prefilled.
 #[test]
-fn what_was_not_used_for_long_is_not_relied_on() {
+fn unused_parts_expire() {
     let (mut index, now, [one, _]) = (Index::default(), Instant::now(), servers());
     let request = request();
     index.record_send(&request, one, now);
     index.record_prefill(&request, one, now);
-    assert_eq!(index.kept(&request.shared, one, now + KEEPS), 0);
-    index.record_send(&request, one, now + KEEPS);
-    assert_eq!(index.sources(&request.shared, now + KEEPS).count(), 0);
+    assert_eq!(index.cached_tokens(&request.shared, one, now + RETENTION), 0);
+    index.record_send(&request, one, now + RETENTION);
+    assert_eq!(index.sources(&request.shared, now + RETENTION).count(), 0);
 }
 
-/// An engine crashed and starts again under its name. It keeps nothing of before.
+/// An engine that crashed and restarted under its name has an empty cache.
 #[test]
-fn a_lost_engine_keeps_nothing() {
+fn a_removed_engine_caches_nothing() {
     let (mut index, now, [one, two]) = (Index::default(), Instant::now(), servers());
     let request = request();
     for server in [one, two] {
         index.record_prefill(&request, server, now);
     }
     index.remove_server(one);
-    assert_eq!(index.kept(&request.shared, one, now), 0);
+    assert_eq!(index.cached_tokens(&request.shared, one, now), 0);
     assert_eq!(index.sources(&request.shared, now).collect::<Vec<_>>(), [two]);
 }
 
-/// Hundreds of requests of a session are served at its home. Other nodes are reported once in a while, and not
-/// of short parts; a node would else spend its bytes on what they know.
+/// However many requests of a session an engine serves, its prefix is reported once in a while, and not while
+/// another node does; short parts aren't reported. Otherwise reports are full of what the peers know.
 #[test]
-fn others_are_told_what_they_have_not_heard() {
+fn only_unknown_long_parts_are_reported() {
     let (mut index, now, [one, _]) = (Index::default(), Instant::now(), servers());
     let request = request();
     for n in 0..100 {
         index.record_prefill(&request, one, now + Duration::from_millis(n));
     }
-    let news = Cached { server: one, part: LONG };
-    assert_eq!(index.updates(now + Duration::from_millis(100)), [news]);
+    let update = Cached { server: one, part: LONG };
+    assert_eq!(index.updates(now + Duration::from_millis(100)), [update]);
     assert!(index.updates(now + REPORTED_FOR).is_empty());
-    index.apply_update(news, now + REPEATED);
-    index.record_prefill(&request, one, now + REPEATED + Duration::from_millis(1));
-    assert!(index.updates(now + REPEATED + Duration::from_millis(2)).is_empty());
+    index.apply_update(update, now + REPORT_AGAIN_AFTER);
+    index.record_prefill(&request, one, now + REPORT_AGAIN_AFTER + Duration::from_millis(1));
+    assert!(index.updates(now + REPORT_AGAIN_AFTER + Duration::from_millis(2)).is_empty());
 }
 
-/// A node is set to tell nothing, so nobody asks for its news. Kept for ever, they would fill its memory.
+/// In a node that is set to report nothing, old updates are dropped, or they would fill its memory.
 #[test]
-fn news_that_nobody_asks_for_is_dropped() {
+fn unreported_updates_are_dropped() {
     let (mut index, now, [one, _]) = (Index::default(), Instant::now(), servers());
     for n in 0..100 {
-        index.record_prefill(&request(), one, now + REPEATED * n);
+        index.record_prefill(&request(), one, now + REPORT_AGAIN_AFTER * n);
     }
     assert_eq!(index.updates.len(), 1);
 }
--- a/components/policy/src/isolation.rs
+++ b/components/policy/src/isolation.rs
@@ -1,212 +1,216 @@
-//! Keeps streams whose callers notice short pauses on engines of their own.
+//! Divides the engines of a pool into groups, so that streams whose callers notice short pauses run apart from
+//! prompts that cause them.
 //!
-//! Load pattern: long prompts beside steady streams. An engine that reads a long prompt makes no tokens
-//! meanwhile; while it reads one after the other, every stream on it stutters. Spread evenly, long
-//! prompts make a stutter somewhere in nearly each stream. So each pool's engines fall into isolation
-//! groups by latency tolerance, and each class has its own group.
+//! Load pattern: long prompts beside steady streams. An engine that prefills a long prompt produces no tokens
+//! meanwhile; while it prefills one after the other, every stream on it stutters. Spread evenly, long prompts
+//! make nearly each stream stutter somewhere. So each pool's engines are divided into isolation groups by
+//! pause tolerance, the longest time between tokens that a class's callers tolerate, and each class has its own
+//! group.
 //!
-//! Load pattern: two steady classes, of which one bears clearly less than the other and the other brings
+//! Load pattern: two steady classes, of which one tolerates clearly less than the other and the other brings
 //! prompts of its own. Several short prompts within one event of a stream stall it as a long one does. So
 //! the strictest class has engines of its own, apart from the other steady ones.
 //!
 //! Which engine is in which group follows from a hash of its name, and the sizes of the groups from the
-//! work that all nodes see, so nodes agree but for an engine at the border.
+//! work of all nodes, so nodes agree except for an engine at the border.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
-/// Work counts half after this time: long against the waves of ordinary traffic, short against a
-/// burst.
-const HALF: Duration = Duration::from_secs(2);
-/// Halvings after which nothing is left of work.
-const FORGOTTEN: u32 = 10;
-/// Seconds between tokens at an engine that reads all the time. Classes that bear less are kept apart from
-/// those that bear more.
-const STALL: f64 = 0.075;
-/// Two steady classes are kept apart where one bears so many times what the other does.
-const UNLIKE: f64 = 1.4;
-/// Engine time, in seconds, that groups are taken to have had before anything is known, and that fades
-/// like real work. Without it the first seconds of a node send long prompts to where the first streams
-/// are.
-const PRIOR: [f64; GROUPS] = [0.0, 0.35, 1.65];
-/// Less engine time than this, in seconds, is no work of a kind at all.
-const NONE: f64 = 0.01;
-/// A group grows once it lacks so much of an engine, and shrinks once it has so much too many: streams
-/// that run at an engine which turns to long prompts stutter to their end, and what an engine has cached
-/// beyond a border is read again.
-const LACKS: f64 = 0.6;
-const SPARES: f64 = 1.25;
-
-/// What is known of all nodes' work counts for so long; then a node goes by its own.
-const RECEIVED: Duration = Duration::from_secs(5);
+/// Half-life of work: long against the fluctuations of ordinary traffic, short against a burst.
+const HALF_LIFE: Duration = Duration::from_secs(2);
+/// Half-lives after which work is forgotten.
+const FORGOTTEN_AFTER: u32 = 10;
+/// Seconds between tokens at an engine that prefills all the time. Classes that tolerate less are kept apart
+/// from those that tolerate more.
+const PREFILLING_INTERVAL_SECONDS: f64 = 0.075;
+/// Ratio of the pause tolerances of two steady classes from which on they are kept apart.
+const TOLERANCE_RATIO: f64 = 1.4;
+/// Assumed engine time of each group before any is known, in seconds; it decays like real work. Without it
+/// a node that has just started sends long prompts to the engines of its first streams.
+const PRIOR_SECONDS: [f64; GROUPS] = [0.0, 0.35, 1.65];
+/// Engine time up to which a kind of work counts as absent, in seconds.
+const ABSENT_SECONDS: f64 = 0.01;
+/// A border moves once the groups before it lack this part of an engine, or have this much too many. Moving
+/// is costly: streams that run at an engine which turns to long prompts stutter until they end, and what the
+/// engine has cached for its former group is prefilled again elsewhere.
+const GROW_AT: f64 = 0.6;
+const SHRINK_AT: f64 = 1.25;
+
+/// Age up to which the work of all nodes counts; after that a node goes by its own.
+const MAX_FLEET_AGE: Duration = Duration::from_secs(5);
 
 /// Number of groups.
 pub const GROUPS: usize = 3;
 
-/// Which group of engines a class or an engine belongs to, the least tolerant first.
+/// An isolation group, of classes and of engines; the least tolerant first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Group {
-    /// The strictest streams, where others that are steady bear clearly more.
+    /// The strictest streams, where other steady ones tolerate clearly more.
     Strict,
-    /// Streams without pauses.
+    /// Streams that tolerate no pauses for prefill.
     Steady,
     /// Long prompts.
     Bulk,
 }
 
 impl Group {
-    /// Number of groups.
     pub(crate) const COUNT: usize = GROUPS;
 
-    /// How many groups lie between.
+    /// How many steps two groups are apart.
     pub(crate) fn distance(self, other: Group) -> f64 {
         f64::from((self as i8 - other as i8).abs())
     }
 }
 
-/// The longest time between tokens, in seconds, that a class of the strict group bears, given what each
-/// class does; none where the steady ones are alike.
-fn strict_border(bears: impl Iterator<Item = Duration>) -> Option<f64> {
-    let bears = bears.map(|bears| bears.as_secs_f64());
-    let mut steady: Vec<_> = bears.filter(|bears| *bears > 0.0 && *bears < STALL).collect();
+/// The largest pause tolerance of the strict group, in seconds, given the tolerance of each class: the steady
+/// classes are split where two neighbours differ most. None if they don't differ enough.
+fn strict_limit(tolerances: impl Iterator<Item = Duration>) -> Option<f64> {
+    let tolerances = tolerances.map(|tolerance| tolerance.as_secs_f64());
+    let mut steady: Vec<_> = tolerances
+        .filter(|tolerance| *tolerance > 0.0 && *tolerance < PREFILLING_INTERVAL_SECONDS)
+        .collect();
     steady.sort_by(f64::total_cmp);
     let pairs = steady.windows(2).map(|pair| (pair[1] / pair[0], pair[0]));
     let widest = pairs.max_by(|a, b| a.0.total_cmp(&b.0));
-    widest.filter(|(ratio, _)| *ratio >= UNLIKE).map(|(_, bears)| bears)
+    widest.filter(|(ratio, _)| *ratio >= TOLERANCE_RATIO).map(|(_, tolerance)| tolerance)
 }
 
 /// The isolation groups of one pool.
 #[derive(Debug)]
 pub(crate) struct Isolation {
-    /// What classes bear between tokens, and when each had work last.
-    bears: Vec<(Duration, Instant)>,
-    /// What the strict group bears at most, in seconds; none without such a group.
+    /// Pause tolerances of the classes, and when each last had work.
+    tolerances: Vec<(Duration, Instant)>,
+    /// Largest pause tolerance of the strict group, in seconds; none without such a group.
     strict: Option<f64>,
-    /// Engine time of late, in seconds, fading, by group.
+    /// Decayed engine time by group, in seconds.
     work: [f64; GROUPS],
-    /// What is left of the work that is taken for granted, by group.
+    /// What is left of [`PRIOR_SECONDS`], by group.
     prior: [f64; GROUPS],
-    faded: Option<Instant>,
-    /// Work of all nodes, as [`Isolation::recent_seconds`] of each, and when it was received.
+    decayed: Option<Instant>,
+    /// Sum of [`Isolation::recent_seconds`] over all nodes, and when it was received.
     fleet: Option<([f64; GROUPS], Instant)>,
-    /// Both steady classes and others had work of late.
-    unlike: bool,
-    /// Ranks at which the strict and the steady group end, by region.
+    /// Whether both steady and bulk classes had work recently.
+    mixed: bool,
+    /// Ranks of engines at which the strict and the steady group end, by region.
     borders: HashMap<ids::Region, [usize; GROUPS - 1]>,
 }
 
 impl Default for Isolation {
     fn default() -> Self {
         Isolation {
-            bears: vec![],
+            tolerances: vec![],
             strict: None,
             work: [0.0; GROUPS],
-            prior: PRIOR,
-            faded: None,
+            prior: PRIOR_SECONDS,
+            decayed: None,
             fleet: None,
-            unlike: false,
+            mixed: false,
             borders: HashMap::new(),
         }
     }
 }
 
 impl Isolation {
-    /// Notes that a class which bears so long between tokens has work.
-    fn seen(&mut self, bears: Duration, now: Instant) {
-        let known = self.bears.len();
-        self.bears.retain(|(_, last)| now < *last + HALF * FORGOTTEN);
-        match self.bears.iter_mut().find(|(class, _)| *class == bears) {
+    /// Records that a class with a pause tolerance has work.
+    fn record_class(&mut self, tolerance: Duration, now: Instant) {
+        let before = self.tolerances.len();
+        self.tolerances.retain(|(_, last)| now < *last + HALF_LIFE * FORGOTTEN_AFTER);
+        match self.tolerances.iter_mut().find(|(known, _)| *known == tolerance) {
             Some((_, last)) => *last = now,
-            None => self.bears.push((bears, now)),
+            None => self.tolerances.push((tolerance, now)),
         }
-        if self.bears.len() != known {
-            self.strict = strict_border(self.bears.iter().map(|(bears, _)| *bears));
+        if self.tolerances.len() != before {
+            self.strict = strict_limit(self.tolerances.iter().map(|(tolerance, _)| *tolerance));
         }
     }
 
-    fn group_of(&self, bears: Duration) -> Group {
-        let bears = bears.as_secs_f64();
-        if bears >= STALL {
+    fn group_for(&self, tolerance: Duration) -> Group {
+        let tolerance = tolerance.as_secs_f64();
+        if tolerance >= PREFILLING_INTERVAL_SECONDS {
             return Group::Bulk;
         }
-        if self.strict.is_some_and(|strict| bears <= strict) {
+        if self.strict.is_some_and(|strict| tolerance <= strict) {
             Group::Strict
         } else {
             Group::Steady
         }
     }
 
-    /// Counts work of a request that bears so long between tokens.
-    pub(crate) fn add_work(&mut self, bears: Duration, seconds: f64, now: Instant) {
-        self.fade(now);
-        self.seen(bears, now);
-        self.work[self.group_of(bears) as usize] += seconds;
+    /// Adds the engine time of a request whose class has a pause tolerance.
+    pub(crate) fn add_work(&mut self, tolerance: Duration, seconds: f64, now: Instant) {
+        self.decay(now);
+        self.record_class(tolerance, now);
+        self.work[self.group_for(tolerance) as usize] += seconds;
     }
 
-    fn fade(&mut self, now: Instant) {
-        let last = self.faded.replace(now).unwrap_or(now);
-        let age = now.saturating_duration_since(last).as_secs_f64() / HALF.as_secs_f64();
-        let keep = (-age).exp2();
-        self.work = self.work.map(|seconds| seconds * keep);
-        self.prior = self.prior.map(|seconds| seconds * keep);
+    /// Applies the decay since the last call.
+    fn decay(&mut self, now: Instant) {
+        let last = self.decayed.replace(now).unwrap_or(now);
+        let half_lives =
+            now.saturating_duration_since(last).as_secs_f64() / HALF_LIFE.as_secs_f64();
+        let factor = (-half_lives).exp2();
+        self.work = self.work.map(|seconds| seconds * factor);
+        self.prior = self.prior.map(|seconds| seconds * factor);
     }
 
-    /// Engine time of late by group, in seconds.
+    /// Decayed engine time by group, in seconds.
     pub(crate) fn recent_seconds(&self) -> [f64; GROUPS] {
         self.work
     }
 
-    /// Whether there was work of late that the groups follow.
+    /// Whether there was work within the time after which it is forgotten.
     pub(crate) fn recently_active(&self, now: Instant) -> bool {
-        self.faded.is_some_and(|last| now < last + HALF * FORGOTTEN)
+        self.decayed.is_some_and(|last| now < last + HALF_LIFE * FORGOTTEN_AFTER)
     }
 
-    /// Takes in the work of all nodes: what one node sees of hundreds varies, and with it the borders,
-    /// which are worth most where all nodes draw them alike.
+    /// Sets the work of all nodes. What one node of hundreds sees of it varies, and with it the borders,
+    /// which isolate best where all nodes have the same ones.
     pub(crate) fn set_fleet_work(&mut self, seconds: [f64; GROUPS], now: Instant) {
         self.fleet = Some((seconds, now));
     }
 
-    /// Parts of all work up to the end of the strict and of the steady group; none while all is of one
-    /// kind.
-    fn parts(&self, now: Instant) -> Option<[f64; GROUPS - 1]> {
-        let fleet = self.fleet.filter(|(_, received)| now < *received + RECEIVED);
+    /// Fractions of all work up to the end of the strict and of the steady group; none unless there is
+    /// both steady and bulk work.
+    fn cumulative_shares(&self, now: Instant) -> Option<[f64; GROUPS - 1]> {
+        let fleet = self.fleet.filter(|(_, received)| now < *received + MAX_FLEET_AGE);
         let work = fleet.map_or_else(|| self.recent_seconds(), |(seconds, _)| seconds);
         let [strict, steady, bulk] = std::array::from_fn(|group| work[group] + self.prior[group]);
         let all = strict + steady + bulk;
-        let known = [strict + steady, bulk].iter().all(|seconds| *seconds > NONE);
-        known.then(|| [strict / all, (strict + steady) / all])
+        let mixed = [strict + steady, bulk].iter().all(|seconds| *seconds > ABSENT_SECONDS);
+        mixed.then(|| [strict / all, (strict + steady) / all])
     }
 
-    /// Works the groups out; `engines` counts those of each region.
+    /// Moves the borders between the groups to follow the work; `engines` is the number of engines in
+    /// each region.
     pub(crate) fn update_borders(&mut self, engines: &HashMap<ids::Region, usize>, now: Instant) {
-        let parts = self.parts(now);
-        self.unlike = parts.is_some();
-        let Some([strict, steady]) = parts else { return };
+        let shares = self.cumulative_shares(now);
+        self.mixed = shares.is_some();
+        let Some([strict, steady]) = shares else { return };
         for (region, count) in engines {
-            let most = count.saturating_sub(1);
+            let last = count.saturating_sub(1);
             let wanted = [strict * *count as f64, steady * *count as f64];
             let split = self.strict.is_some() && *count >= GROUPS;
-            let least = [usize::from(split), 1 + usize::from(split)];
-            let largest = [most.saturating_sub(1), most];
-            let whole = std::array::from_fn(|border| {
-                let (least, largest) = (least[border].min(largest[border]), largest[border]);
-                (wanted[border].round() as usize).clamp(least, largest)
+            let smallest = [usize::from(split), 1 + usize::from(split)];
+            let largest = [last.saturating_sub(1), last];
+            let rounded = std::array::from_fn(|border| {
+                let (smallest, largest) = (smallest[border].min(largest[border]), largest[border]);
+                (wanted[border].round() as usize).clamp(smallest, largest)
             });
-            let borders = self.borders.entry(*region).or_insert(whole);
+            let borders = self.borders.entry(*region).or_insert(rounded);
             for border in 0..borders.len() {
-                let off = wanted[border] - borders[border] as f64;
-                if off > LACKS || -off > SPARES || borders[border] > largest[border] {
-                    borders[border] = whole[border];
+                let lack = wanted[border] - borders[border] as f64;
+                if lack > GROW_AT || -lack > SHRINK_AT || borders[border] > largest[border] {
+                    borders[border] = rounded[border];
                 }
             }
             borders[0] = if split { borders[0].min(borders[1]) } else { 0 };
         }
     }
 
-    /// The group of a request that bears so long between tokens; none while all are alike.
-    pub(crate) fn class_group(&self, bears: Duration) -> Option<Group> {
-        self.unlike.then(|| self.group_of(bears))
+    /// The group of a class with a pause tolerance; none unless there is both steady and bulk work.
+    pub(crate) fn class_group(&self, tolerance: Duration) -> Option<Group> {
+        self.mixed.then(|| self.group_for(tolerance))
     }
 
     /// The group of the engine with a rank among those of its region.
--- a/components/policy/src/pick.rs
+++ b/components/policy/src/pick.rs
@@ -1,34 +1,34 @@
-//! Which of the backend servers with a free place gets a request.
+//! Picks one of the backend servers that have a free slot, by their load and speed.
 //!
-//! Patterns: engines that differ in load and pace, reports that lag, prompts that share a head, a
-//! region behind a narrow link. The least loaded server by report draws every node at once; the
-//! fastest one fills up while others idle.
+//! Load patterns: backend servers that differ in load and speed, reports that lag, prompts that share a
+//! prefix, a region behind a narrow link. With the least loaded server by report, every node sends to the
+//! same one at once; with the fastest one, that one fills up while others are idle.
 //!
-//! Ways weighed: the best score (herds on old facts), two choices at random (blind to pace), and
-//! two choices among near-equals by score, which is what stands here (Mitzenmacher, "The power of
-//! two choices in randomized load balancing", 2001).
+//! The best score alone makes all nodes herd on outdated reports, and two choices at random ignore speed. So
+//! the pick is the better of two random choices among servers whose scores are nearly equal (Mitzenmacher,
+//! "The power of two choices in randomized load balancing", 2001).
 
 use rand::Rng;
 use rand::rngs::SmallRng;
 
 use crate::mechanism::{Disabled, Mechanism};
 
-/// Scores within this part of the best are as good as it: about the error of a load that is a
+/// Scores up to this multiple of the best one count as equal to it: about the error of a load that is a
 /// second old.
-const NEAR: f64 = 1.25;
-/// A cached head may draw a request to a server this much above the mean load (bounded load as by
-/// Mirrokni, Thorup and Zadimoghaddam, 2016), so that a hot head doesn't make a hot server.
-const BOUND: f64 = 1.25;
+const NEAR_EQUAL: f64 = 1.25;
+/// Multiple of the mean load up to which a server takes requests for a prefix that it has cached, so that a
+/// popular prefix doesn't overload its server (bounded loads as by Mirrokni, Thorup and Zadimoghaddam, 2016).
+const LOAD_BOUND: f64 = 1.25;
 
 /// A server that may take the request now.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Candidate {
     pub(crate) server: ids::Server,
-    /// Number that differs by server and is alike on all nodes.
+    /// Hash of the server's name, the same on all nodes.
     pub(crate) salt: u64,
-    /// Part of its places that are taken, as far as can be told.
+    /// Fraction of its slots that is occupied, as far as known.
     pub(crate) load: f64,
-    /// Seconds to the end of the answer, as predicted there.
+    /// Predicted seconds to the end of the answer.
     pub(crate) time: f64,
 }
 
@@ -38,40 +38,41 @@
     }
 }
 
-/// Picks one of the candidates.
+/// Picks one of the candidates; none only if there are none.
 pub(crate) fn pick(
     candidates: &[Candidate],
     prefix: u64,
     rng: &mut SmallRng,
-    without: Disabled,
+    disabled: Disabled,
 ) -> Option<ids::Server> {
     let best = candidates.iter().min_by(|a, b| a.score().total_cmp(&b.score()))?;
-    let near = best.score() * NEAR;
-    if without.lacks(Mechanism::Affinity)
-        && let Some(home) = home(candidates, prefix, near)
+    let bound = best.score() * NEAR_EQUAL;
+    if disabled.lacks(Mechanism::Affinity)
+        && let Some(server) = affinity_server(candidates, prefix, bound)
     {
-        return Some(home);
+        return Some(server);
     }
-    if !without.lacks(Mechanism::TwoChoices) {
+    if !disabled.lacks(Mechanism::TwoChoices) {
         return Some(best.server);
     }
-    let equals = || candidates.iter().filter(|candidate| candidate.score() <= near);
-    let count = equals().count();
-    let first = equals().nth(rng.random_range(0..count))?;
-    let second = equals().nth(rng.random_range(0..count))?;
+    let near_equals = || candidates.iter().filter(|candidate| candidate.score() <= bound);
+    let count = near_equals().count();
+    let first = near_equals().nth(rng.random_range(0..count))?;
+    let second = near_equals().nth(rng.random_range(0..count))?;
     let better = if second.load < first.load { second } else { first };
     Some(better.server)
 }
 
-/// The server that has most likely cached the prompt's head, unless it is slow or loaded.
-fn home(candidates: &[Candidate], prefix: u64, near: f64) -> Option<ids::Server> {
+/// The server that has most likely cached the prompt's prefix, by rendezvous hashing, unless it is slow or
+/// loaded; `bound` is the highest score that counts as nearly equal to the best.
+fn affinity_server(candidates: &[Candidate], prefix: u64, bound: f64) -> Option<ids::Server> {
     let mean = candidates.iter().map(|c| c.load).sum::<f64>() / candidates.len() as f64;
-    let home = candidates.iter().max_by_key(|candidate| mix64(prefix ^ candidate.salt))?;
-    let bounded = home.load <= mean * BOUND + 0.1 && home.score() <= near * BOUND;
-    bounded.then_some(home.server)
+    let server = candidates.iter().max_by_key(|candidate| mix64(prefix ^ candidate.salt))?;
+    let bounded = server.load <= mean * LOAD_BOUND + 0.1 && server.score() <= bound * LOAD_BOUND;
+    bounded.then_some(server.server)
 }
 
-/// Spreads the bits of a number (the finaliser of splitmix64).
+/// Spreads the bits of a number (the finalizer of splitmix64).
 pub(crate) fn mix64(number: u64) -> u64 {
     let number = (number ^ (number >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     let number = (number ^ (number >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
--- a/components/policy/src/prefill.rs
+++ b/components/policy/src/prefill.rs
@@ -1,168 +1,171 @@
-//! How long an engine takes to begin: what it has to read before, and what it was seen to take.
+//! Estimates how long a prompt waits at an engine until its prefill starts.
 //!
-//! Pattern: prompts of unlike length. An engine reads prompts one after the other between the tokens
-//! of its streams, so its count of requests says little: one long prompt holds up a first token for
-//! as long as dozens of short ones. Without this, the least loaded server by count is often the one
-//! that reads longest.
+//! Load pattern: prompts of different lengths. An engine prefills prompts one after the other between the
+//! tokens of its streams, so its count of requests says little: one long prompt delays a first token as much
+//! as dozens of short ones. Without this, the server with the fewest requests is often the one with the most
+//! prefill ahead.
+//!
+//! The estimate adds up the prefill that is known to be queued and the wait beyond it that first tokens
+//! have shown.
 
 use std::time::{Duration, Instant};
 
 use crate::priority::{PRIORITIES, PerPriority};
 
-/// Weight of a new wait in the running one: three in a row show a change.
+/// Weight of a new wait in the moving average: three in a row show a change.
 const WEIGHT: f64 = 0.3;
-/// A wait that was seen counts half after this many seconds: what was being read then is read by
-/// now.
-const HALF: f64 = 0.5;
-/// The least time to a first token is let rise by this part with each look, to follow an engine
-/// whose batch fills.
-const RISE: f64 = 0.01;
+/// Half-life of an observed wait, in seconds: the prompts that caused it have been prefilled by then.
+const HALF_LIFE_SECONDS: f64 = 0.5;
+/// Fraction by which the base latency may rise with each first token, to follow an engine whose batch
+/// fills.
+const BASE_LATENCY_RISE: f64 = 0.01;
 
-/// Time for which reports of other nodes count: several intervals between them.
-const REPORTS: Duration = Duration::from_secs(1);
+/// Age up to which reports of other nodes count: several intervals between them.
+const MAX_REPORT_AGE: Duration = Duration::from_secs(1);
 
-/// A prompt whose first token came.
+/// The first token of a prompt that this node sent.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct FirstToken {
     pub(crate) priority: u8,
-    /// Estimated seconds of its prefill.
+    /// Estimated seconds of the prompt's prefill.
     pub(crate) prefill: f64,
     /// Seconds of other prompts that were known to be prefilled before it.
     pub(crate) queued_ahead: f64,
-    /// Seconds from its send to its first token.
+    /// Seconds from the send to the first token.
     pub(crate) took: f64,
 }
 
-/// What other nodes' prompts at one engine tell of it.
+/// What other nodes reported of their requests at one engine.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Peers {
-    /// What they take to read.
-    pub(crate) work: PerPriority,
-    /// By how much one of them waits for longer than is usual.
+    /// Seconds of prefill that is queued or runs.
+    pub(crate) queued: PerPriority,
+    /// Seconds by which the most overdue of them waits too long for its first token.
     pub(crate) overdue: PerPriority,
-    /// Places that they take or wait for.
-    pub(crate) taken: PerPriority,
-    /// When the engine was last seen to begin an answer.
-    pub(crate) begun: Option<Instant>,
+    /// Slots that they occupy or wait for.
+    pub(crate) occupied: PerPriority,
+    /// When one of them last received a first token.
+    pub(crate) last_first_token: Option<Instant>,
 }
 
-/// A running wait that fades.
+/// An exponential moving average of waits, which decays while none is observed.
 #[derive(Clone, Copy, Debug, Default)]
 struct Wait {
     seconds: f64,
-    seen: Option<Instant>,
+    observed: Option<Instant>,
 }
 
 impl Wait {
     fn add(&mut self, seconds: f64, now: Instant) {
-        let held = self.at(now);
-        *self = Wait { seconds: held + (seconds - held) * WEIGHT, seen: Some(now) };
+        let current = self.current(now);
+        *self = Wait { seconds: current + (seconds - current) * WEIGHT, observed: Some(now) };
     }
 
-    fn at(&self, now: Instant) -> f64 {
-        let Some(seen) = self.seen else { return 0.0 };
-        let age = now.saturating_duration_since(seen).as_secs_f64();
-        self.seconds * (-age / HALF).exp2()
+    fn current(&self, now: Instant) -> f64 {
+        let Some(observed) = self.observed else { return 0.0 };
+        let age = now.saturating_duration_since(observed).as_secs_f64();
+        self.seconds * (-age / HALF_LIFE_SECONDS).exp2()
     }
 }
 
-/// What is known of one engine's reading. All times in seconds.
+/// Estimates of the prefill at one engine; all times in seconds.
 #[derive(Debug, Default)]
 pub(crate) struct Estimator {
-    /// What prompts that this node sent and that haven't begun to be answered take to read.
+    /// Prefill of this node's prompts without a first token yet.
     own: PerPriority,
-    /// The same of other nodes' prompts.
-    others: Option<(Peers, Instant)>,
-    /// When another node last saw it begin an answer.
-    begun_elsewhere: Option<Instant>,
-    /// Times to a first token beyond what was expected, as seen last, by rank of the prompt.
+    /// What other nodes reported, and when that was received.
+    peers: Option<(Peers, Instant)>,
+    /// When another node last received a first token.
+    last_peer_first_token: Option<Instant>,
+    /// Waits beyond what was known to be queued, by priority of the prompt.
     waits: [Wait; PRIORITIES],
-    seen: Option<Instant>,
-    /// Least time from a send to a first token beyond the prompt's own reading.
-    least: Option<f64>,
+    /// When this node last received a first token.
+    last_own_first_token: Option<Instant>,
+    /// Least time from a send to a first token beyond the prompt's own prefill.
+    base_latency: Option<f64>,
 }
 
 impl Estimator {
-    /// A prompt was sent that takes so long to read.
-    pub(crate) fn sent(&mut self, rank: u8, seconds: f64) {
-        self.own.add(rank, seconds);
+    /// Adds a prompt with its estimated prefill time.
+    pub(crate) fn prompt_sent(&mut self, priority: u8, seconds: f64) {
+        self.own.add(priority, seconds);
     }
 
-    /// A prompt that was sent isn't read any more.
-    pub(crate) fn prompt_done(&mut self, rank: u8, seconds: f64) {
-        self.own.add(rank, -seconds);
+    /// Removes a prompt that was sent, once it is prefilled or its attempt has ended.
+    pub(crate) fn prompt_done(&mut self, priority: u8, seconds: f64) {
+        self.own.add(priority, -seconds);
     }
 
-    /// Prompts of this node that are being read or wait to be.
-    pub(crate) fn own(&self) -> PerPriority {
+    /// Prefill of this node's prompts that is queued or runs.
+    pub(crate) fn own_queued(&self) -> PerPriority {
         self.own
     }
 
-    /// Takes in what other nodes' prompts tell.
-    pub(crate) fn received(&mut self, others: Peers, now: Instant) {
-        self.begun_elsewhere = self.begun_elsewhere.max(others.begun);
-        self.others = Some((others, now));
+    /// Takes in what other nodes reported.
+    pub(crate) fn set_peers(&mut self, peers: Peers, now: Instant) {
+        self.last_peer_first_token = self.last_peer_first_token.max(peers.last_first_token);
+        self.peers = Some((peers, now));
     }
 
-    fn others(&self, now: Instant) -> Option<Peers> {
-        self.others.filter(|(_, received)| now < *received + REPORTS).map(|(others, _)| others)
+    fn current_peers(&self, now: Instant) -> Option<Peers> {
+        self.peers.filter(|(_, received)| now < *received + MAX_REPORT_AGE).map(|(peers, _)| peers)
     }
 
-    /// Seconds by which a prompt of another node waits for longer than is usual that is as urgent as `rank`,
-    /// or more.
-    pub(crate) fn overdue(&self, rank: u8, now: Instant) -> f64 {
-        self.others(now).map_or(0.0, |others| others.overdue.max_up_to(rank))
+    /// Seconds by which other nodes' most overdue prompt of a priority or a higher one waits too long.
+    pub(crate) fn peer_overdue(&self, priority: u8, now: Instant) -> f64 {
+        self.current_peers(now).map_or(0.0, |peers| peers.overdue.max_up_to(priority))
     }
 
-    /// Places that other nodes' requests take which are as urgent as `rank`, or more.
-    pub(crate) fn taken(&self, rank: u8, now: Instant) -> f64 {
-        self.others(now).map_or(0.0, |others| others.taken.sum_up_to(rank))
+    /// Slots that other nodes' requests of a priority or a higher one occupy or wait for.
+    pub(crate) fn peer_occupied(&self, priority: u8, now: Instant) -> f64 {
+        self.current_peers(now).map_or(0.0, |peers| peers.occupied.sum_up_to(priority))
     }
 
-    /// When it last began to answer anything, as far as any node has told.
-    pub(crate) fn last_begun(&self) -> Option<Instant> {
-        self.seen.max(self.begun_elsewhere)
+    /// When the engine last sent a first token, as far as any node reported.
+    pub(crate) fn last_first_token(&self) -> Option<Instant> {
+        self.last_own_first_token.max(self.last_peer_first_token)
     }
 
-    /// A prompt's first token came so long after it was sent, when so much was known to be read
-    /// before it.
+    /// Records the first token of a prompt: what it waited beyond its own prefill and the queue that was
+    /// known ahead of it updates the estimates.
     pub(crate) fn record_first_token(&mut self, prompt: FirstToken, now: Instant) {
-        let FirstToken { priority: rank, prefill: seconds, queued_ahead: ahead, took } = prompt;
-        self.prompt_done(rank, seconds);
-        let rest = (took - seconds).max(0.0);
-        let least = self.least.map_or(rest, |least| (least * (1.0 + RISE)).min(rest));
-        self.least = Some(least);
-        let beyond = (rest - least - ahead).max(0.0);
-        self.waits[usize::from(rank).min(PRIORITIES - 1)].add(beyond, now);
-        self.seen = Some(now);
+        let FirstToken { priority, prefill, queued_ahead, took } = prompt;
+        self.prompt_done(priority, prefill);
+        let rest = (took - prefill).max(0.0);
+        let base =
+            self.base_latency.map_or(rest, |base| (base * (1.0 + BASE_LATENCY_RISE)).min(rest));
+        self.base_latency = Some(base);
+        let unexplained = (rest - base - queued_ahead).max(0.0);
+        self.waits[usize::from(priority).min(PRIORITIES - 1)].add(unexplained, now);
+        self.last_own_first_token = Some(now);
     }
 
-    /// When a prompt of this node was last begun to be answered.
-    pub(crate) fn begun_here(&self) -> Option<Instant> {
-        self.seen
+    /// When this node last received a first token.
+    pub(crate) fn last_own_first_token(&self) -> Option<Instant> {
+        self.last_own_first_token
     }
 
-    /// What prompts as urgent as `rank`, or more, were seen to wait of late: less urgent ones are read after
-    /// them, and a long wait of theirs says nothing.
-    fn waits(&self, rank: u8, now: Instant) -> f64 {
-        let as_urgent = self.waits.iter().take(usize::from(rank) + 1);
-        as_urgent.map(|wait| wait.at(now)).fold(0.0, f64::max)
+    /// Recent wait of prompts of a priority or a higher one beyond what was known to be queued. Prompts of
+    /// lower priority are prefilled after them, so that those wait long tells nothing.
+    fn recent_wait(&self, priority: u8, now: Instant) -> f64 {
+        let up_to = self.waits.iter().take(usize::from(priority) + 1);
+        up_to.map(|wait| wait.current(now)).fold(0.0, f64::max)
     }
 
-    /// Time that prompts take which are read before one of a rank sent now, as far as is known.
-    pub(crate) fn ahead(&self, rank: u8, now: Instant) -> f64 {
-        self.own.sum_up_to(rank)
-            + self.others(now).map_or(0.0, |others| others.work.sum_up_to(rank))
+    /// Prefill that is known to be queued before a prompt of a priority sent now.
+    pub(crate) fn queued_ahead(&self, priority: u8, now: Instant) -> f64 {
+        self.own.sum_up_to(priority)
+            + self.current_peers(now).map_or(0.0, |peers| peers.queued.sum_up_to(priority))
     }
 
-    /// Time until a prompt of a rank sent now begins to be read.
-    pub(crate) fn backlog(&self, rank: u8, now: Instant) -> f64 {
-        self.ahead(rank, now) + self.waits(rank, now)
+    /// Expected time until the prefill of a prompt of a priority sent now starts.
+    pub(crate) fn backlog(&self, priority: u8, now: Instant) -> f64 {
+        self.queued_ahead(priority, now) + self.recent_wait(priority, now)
     }
 
-    /// Least time from a send to a first token beyond the prompt's own reading.
-    pub(crate) fn least(&self) -> f64 {
-        self.least.unwrap_or(0.0)
+    /// Least time from a send to a first token beyond the prompt's own prefill.
+    pub(crate) fn base_latency(&self) -> f64 {
+        self.base_latency.unwrap_or(0.0)
     }
 }
 
--- a/components/policy/src/prefix.rs
+++ b/components/policy/src/prefix.rs
@@ -1,10 +1,10 @@
-//! Where the beginning of a prompt is kept, and what an engine does that lacks it.
+//! Locates cached copies of a prompt's prefix, and estimates what an engine that lacks it has to do.
 //!
-//! Pattern: sessions with long beginnings, and engines that are left for others as they are full, turn slow
-//! or go away. Disabled this, each request that leaves its engine has the beginning read anew; on a heavy day
-//! that took a fifth of all reading. Another engine takes a beginning over in a few hundredths of the time;
-//! without it callers on three sites of eight nodes get 0.013 to 0.019 less of the worth of their requests
-//! (mean over days with trouble, paired, standard error 0.004 to 0.007).
+//! Load pattern: sessions with long prefixes, and engines that requests leave as they are full, slow or gone.
+//! Without this, each request that leaves its engine has the prefix prefilled again: a fifth of all prefill on
+//! a day of heavy load. Fetching a prefix from another engine takes a few hundredths of the time of prefilling
+//! it. Without fetching, callers at three sites of eight nodes get 0.013 to 0.019 less of the value of their
+//! requests (mean over days with failures, paired, standard error 0.004 to 0.007).
 
 use std::time::Instant;
 
@@ -13,126 +13,134 @@
 use crate::pool::Member;
 use crate::scheduler::Scheduler;
 
-/// An engine takes over the beginning of a prompt only where that takes less than this part of reading it.
-const GAINS: f64 = 0.5;
-/// Part of its reading that another copy of a beginning costs: it takes memory in which others yield.
-const DISPLACES: f64 = 0.25;
-/// The least that another copy costs, in seconds.
-const LEAVES: f64 = 0.1;
+/// An engine fetches a prefix only where that takes less than this fraction of prefilling it.
+const FETCH_FRACTION: f64 = 0.5;
+/// Cost of one more copy of a prefix, as a fraction of its prefill time: it evicts others from the
+/// cache.
+const DUPLICATION_FRACTION: f64 = 0.25;
+/// Least cost of one more copy, in seconds.
+const MIN_DUPLICATION_SECONDS: f64 = 0.1;
+/// Position of a token at which its attention to the tokens before it takes an engine as long as all other
+/// work for it: 30,000 to 60,000 at the users' engines.
+const ATTENTION_TOKENS: f64 = 40_000.0;
 
-/// Where the beginning of a prompt is kept.
+/// Where the prefix of a prompt is cached.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Copies {
-    /// Engines that have most likely read it where nothing is known.
-    pub(crate) homes: [Option<ids::Server>; 2],
-    /// Some engine within reach that takes new work is known to keep all of it.
+    /// Engines that most likely cache it where nothing is known, the most likely first.
+    pub(crate) preferred: [Option<ids::Server>; 2],
+    /// Whether an engine in reach that takes new work is known to cache all of it.
     pub(crate) known: bool,
-    /// An engine from which another can take it over.
+    /// An engine from which another one can fetch it.
     pub(crate) source: Option<ids::Server>,
 }
 
-/// What an engine does before the first token of a request; all times in seconds.
+/// What an engine has to do before the first token of a request; all times in seconds.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Cost {
-    /// It reads, or takes over, what it is known to lack.
-    pub(crate) reading: f64,
-    /// It reads the beginning as well if it doesn't keep it, which nobody knows.
-    pub(crate) cold: f64,
-    /// What another copy of the beginning costs.
-    pub(crate) copying: f64,
-    /// Reading the whole beginning.
-    pub(crate) shared: f64,
-    /// The engine from which it takes the beginning over.
+    /// Prefill, or fetch, of what the engine is known to lack.
+    pub(crate) prefill: f64,
+    /// Prefill of the prefix at the preferred engine where no node knows whether it is cached there.
+    pub(crate) uncertain_prefill: f64,
+    /// Cost of one more copy of the prefix.
+    pub(crate) duplication: f64,
+    /// Prefill of the whole prefix.
+    pub(crate) whole_prefix: f64,
+    /// The engine from which it fetches the prefix.
     pub(crate) fetch: Option<ids::Server>,
 }
 
-/// Tokens before a token at which comparing it with them takes an engine as long as all else for it: 30
-/// to 60 thousand at the users' engines.
-const ATTENTION: f64 = 40_000.0;
-
-/// Seconds in which an engine that reads so many tokens a second reads a prompt on from one token to
-/// another.
-fn reading_time(from: u32, to: u32, reads: f64) -> f64 {
+/// Seconds in which an engine prefills a prompt from one token to another, at `rate` tokens a second
+/// plus attention to the tokens before.
+fn prefill_seconds(from: u32, to: u32, rate: f64) -> f64 {
     let (from, to) = (f64::from(from), f64::from(to.max(from)));
-    (to - from) / reads * (1.0 + (from + to) / 2.0 / ATTENTION)
+    (to - from) / rate * (1.0 + (from + to) / 2.0 / ATTENTION_TOKENS)
 }
 
 impl Scheduler {
-    /// Where the beginning of a request's prompt is kept.
-    pub(crate) fn copies(
+    /// Where the prefix of a request's prompt is cached.
+    pub(crate) fn prefix_copies(
         &self,
         pending: &Pending,
-        homes: [Option<ids::Server>; 2],
+        preferred: [Option<ids::Server>; 2],
         now: Instant,
     ) -> Copies {
         let shared = pending.request.shared_tokens();
-        let near = |member: &&Member| self.cross_region || member.region == pending.request.region;
-        let mut members = self.pools[pending.pool].members.iter().filter(near);
-        let known = members.any(|member| self.kept(pending, member.server, now) >= shared);
+        let in_reach =
+            |member: &&Member| self.cross_region || member.region == pending.request.region;
+        let mut members = self.pools[pending.pool].members.iter().filter(in_reach);
+        let known = members.any(|member| self.cached_tokens(pending, member.server, now) >= shared);
         let sources = self.prefixes.sources(&pending.request.shared, now);
-        let sound = sources.filter(|source| {
-            let known = self.servers.get(*source);
-            known
-                .is_some_and(|known| self.hands_over(known, now) && !self.is_excluded(*source, now))
+        let usable = sources.filter(|source| {
+            let state = self.servers.get(*source);
+            state.is_some_and(|state| {
+                self.can_serve_prefixes(state, now) && !self.is_excluded(*source, now)
+            })
         });
-        let near =
+        let in_region =
             |source: &ids::Server| self.servers[*source].terms.region == pending.request.region;
-        let source = sound.max_by_key(near).filter(|_| self.disabled.lacks(Mechanism::PrefixFetch));
-        Copies { homes, known, source }
+        let source =
+            usable.max_by_key(in_region).filter(|_| self.disabled.lacks(Mechanism::PrefixFetch));
+        Copies { preferred, known, source }
     }
 
-    /// Tokens of a prompt's beginning that an engine keeps.
-    fn kept(&self, pending: &Pending, server: ids::Server, now: Instant) -> u32 {
+    /// Tokens of a prompt's prefix that an engine is known to cache.
+    fn cached_tokens(&self, pending: &Pending, server: ids::Server, now: Instant) -> u32 {
         if !self.disabled.lacks(Mechanism::PrefixIndex) {
             return 0;
         }
-        self.prefixes.kept(&pending.request.shared, server, now)
+        self.prefixes.cached_tokens(&pending.request.shared, server, now)
     }
 
-    /// What an engine does before the first token of a request; none if it isn't known how fast it reads.
-    pub(crate) fn prefill(
+    /// What an engine has to do before the first token of a request; none if its prefill rate isn't
+    /// known.
+    pub(crate) fn prefill_cost(
         &self,
         pending: &Pending,
-        at: ids::Server,
+        server: ids::Server,
         copies: &Copies,
         now: Instant,
     ) -> Option<Cost> {
-        let reads = f64::from(self.servers[at].terms.prefill_rate?.max(1));
-        let time = |from: u32, to: u32| reading_time(from, to, reads);
+        let rate = f64::from(self.servers[server].terms.prefill_rate?.max(1));
+        let time = |from: u32, to: u32| prefill_seconds(from, to, rate);
         let (shared, prompt) = (pending.request.shared_tokens(), pending.request.prompt_tokens);
-        let place = copies.homes.iter().position(|home| *home == Some(at));
-        // The home is where the beginning belongs, so that one copy serves all; it has to come there first.
-        let first = place == Some(0) && !copies.known;
-        let kept = match place {
-            Some(0) if first => 0,
+        let preference = copies.preferred.iter().position(|engine| *engine == Some(server));
+        // The first copy belongs at the preferred engine, where it serves all requests of the session. So its
+        // prefill there counts towards the wait, but not towards the engine's cost.
+        let first_copy = preference == Some(0) && !copies.known;
+        let cached = match preference {
+            Some(0) if first_copy => 0,
             Some(1) if !copies.known => shared / 2,
-            _ => self.kept(pending, at, now),
+            _ => self.cached_tokens(pending, server, now),
         };
-        let lacks = time(kept.min(shared), shared);
-        let source = copies.source.filter(|source| *source != at && lacks > 0.0);
-        let fetch = source.and_then(|source| Some((source, self.fetching(pending, at)?)));
-        let fetch = fetch.filter(|(_, seconds)| *seconds < lacks * GAINS);
-        let (beginning, cold, copying) = match fetch {
-            Some((_, seconds)) if first => (seconds, 0.0, 0.0),
-            Some((_, seconds)) => (seconds, 0.0, (lacks * DISPLACES).max(LEAVES)),
-            None if first => (0.0, lacks, 0.0),
-            None => (lacks, 0.0, 0.0),
+        let missing = time(cached.min(shared), shared);
+        let source = copies.source.filter(|source| *source != server && missing > 0.0);
+        let fetch = source.and_then(|source| Some((source, self.fetch_seconds(pending, server)?)));
+        let fetch = fetch.filter(|(_, seconds)| *seconds < missing * FETCH_FRACTION);
+        let (prefix, uncertain_prefill, duplication) = match fetch {
+            Some((_, seconds)) if first_copy => (seconds, 0.0, 0.0),
+            Some((_, seconds)) => {
+                (seconds, 0.0, (missing * DUPLICATION_FRACTION).max(MIN_DUPLICATION_SECONDS))
+            }
+            None if first_copy => (0.0, missing, 0.0),
+            None => (missing, 0.0, 0.0),
         };
         Some(Cost {
-            reading: time(shared, prompt) + beginning,
-            cold,
-            copying,
-            shared: time(0, shared),
+            prefill: time(shared, prompt) + prefix,
+            uncertain_prefill,
+            duplication,
+            whole_prefix: time(0, shared),
             fetch: fetch.map(|(source, _)| source),
         })
     }
 
-    /// Seconds in which an engine takes over the beginning of a prompt; none where it can't.
-    fn fetching(&self, pending: &Pending, at: ids::Server) -> Option<f64> {
-        let way = self.servers[at].terms.fetch?;
+    /// Seconds in which an engine fetches the prefix of a prompt from another one; none where it
+    /// can't.
+    fn fetch_seconds(&self, pending: &Pending, server: ids::Server) -> Option<f64> {
+        let terms = self.servers[server].terms.fetch?;
         Some(
-            way.setup.as_secs_f64()
-                + f64::from(pending.request.shared_tokens()) / way.tokens_per_second,
+            terms.setup.as_secs_f64()
+                + f64::from(pending.request.shared_tokens()) / terms.tokens_per_second,
         )
     }
 }
--- a/components/policy/src/priority.rs
+++ b/components/policy/src/priority.rs
@@ -1,59 +1,58 @@
-//! Amounts by rank of urgency. Engines take requests of a lower rank first, so what is known of one
-//! rank tells of those behind it only.
+//! Keeps amounts by priority. Engines serve requests of a lower number first, so an amount of one priority
+//! matters only to requests of that priority and of lower ones.
 
-/// Ranks of urgency that are told apart; less urgent ones count as the last.
+/// Priorities that are told apart, 0 being the highest; later ones count as the last.
 pub(crate) const PRIORITIES: usize = 10;
 
-/// An amount, by rank of urgency.
+/// An amount for each priority.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(crate) struct PerPriority([f64; PRIORITIES]);
 
 impl PerPriority {
-    fn at(&mut self, rank: u8) -> &mut f64 {
-        &mut self.0[usize::from(rank).min(PRIORITIES - 1)]
+    fn amount_mut(&mut self, priority: u8) -> &mut f64 {
+        &mut self.0[usize::from(priority).min(PRIORITIES - 1)]
     }
 
-    /// Adds to what a rank has, or takes away where `more` is negative.
-    pub(crate) fn add(&mut self, rank: u8, more: f64) {
-        let held = self.at(rank);
-        *held = (*held + more).max(0.0);
+    /// Adds to the amount of a priority, which never falls below zero where `change` is negative.
+    pub(crate) fn add(&mut self, priority: u8, change: f64) {
+        let amount = self.amount_mut(priority);
+        *amount = (*amount + change).max(0.0);
     }
 
-    /// Gives a rank as much, unless it has more.
-    pub(crate) fn raise(&mut self, rank: u8, amount: f64) {
-        let held = self.at(rank);
-        *held = held.max(amount);
+    /// Sets the amount of a priority unless it is larger already.
+    pub(crate) fn raise(&mut self, priority: u8, to: f64) {
+        let amount = self.amount_mut(priority);
+        *amount = amount.max(to);
     }
 
-    /// What a rank and all that go before it have together.
-    pub(crate) fn sum_up_to(&self, rank: u8) -> f64 {
-        self.0.iter().take(usize::from(rank) + 1).sum()
+    /// Sum over a priority and all higher ones.
+    pub(crate) fn sum_up_to(&self, priority: u8) -> f64 {
+        self.0.iter().take(usize::from(priority) + 1).sum()
     }
 
-    /// The most that a rank has, or one of those that go before it.
-    pub(crate) fn max_up_to(&self, rank: u8) -> f64 {
-        self.0.iter().take(usize::from(rank) + 1).copied().fold(0.0, f64::max)
+    /// Maximum over a priority and all higher ones; zero where none is positive.
+    pub(crate) fn max_up_to(&self, priority: u8) -> f64 {
+        self.0.iter().take(usize::from(priority) + 1).copied().fold(0.0, f64::max)
     }
 
-    /// So many times as much of each rank.
-    pub(crate) fn times(mut self, factor: f64) -> Self {
-        self.0.iter_mut().for_each(|held| *held *= factor);
+    /// All amounts multiplied by a factor.
+    pub(crate) fn scaled(mut self, factor: f64) -> Self {
+        self.0.iter_mut().for_each(|amount| *amount *= factor);
         self
     }
 
-    /// By rank.
     pub(crate) fn to_vec(self) -> Vec<f64> {
         self.0.to_vec()
     }
 }
 
-/// By rank; what is beyond the last rank counts with it.
+/// From amounts in order of priority; those beyond the last priority are added to it.
 impl From<&[f64]> for PerPriority {
-    fn from(told: &[f64]) -> Self {
-        let mut ranked = PerPriority::default();
-        for (rank, more) in told.iter().enumerate() {
-            ranked.add(u8::try_from(rank).unwrap_or(u8::MAX), *more);
+    fn from(amounts: &[f64]) -> Self {
+        let mut by_priority = PerPriority::default();
+        for (priority, amount) in amounts.iter().enumerate() {
+            by_priority.add(u8::try_from(priority).unwrap_or(u8::MAX), *amount);
         }
-        ranked
+        by_priority
     }
 }
--- a/components/policy/src/sampling.rs
+++ b/components/policy/src/sampling.rs
@@ -1,9 +1,10 @@
-//! Which engines a request looks at.
+//! Samples the engines that are considered for a request.
 //!
 //! Load pattern: hundreds of nodes that know the same of engines, some tenths of a second old. Each that
-//! takes the best of all engines takes the same one: an engine whose places came free is filled twice over
-//! before anyone hears of it, while most others stay idle. So a request looks at the engines that keep its
-//! prompt's beginning, and at a few others of each group, drawn by their free places.
+//! takes the best of all engines takes the same one: an engine whose slots came free is filled twice over
+//! before any node learns of it, while most others stay idle. So only the engines that cache the prompt's
+//! prefix are considered, and a few others of each isolation group, sampled with probabilities in proportion
+//! to their free slots.
 
 use crate::isolation::Group;
 use crate::pending::Pending;
@@ -11,46 +12,47 @@
 use crate::pool::Member;
 use crate::scheduler::Scheduler;
 
-/// Engines of each group that are drawn.
-const DRAWN: usize = 4;
-/// Free places that an engine without any counts for, so that it is drawn where all are full.
-const FULL: f64 = 1e-3;
-/// Keeps these draws apart from other uses of a request's random number.
+/// Engines that are sampled in each group.
+const SAMPLES_PER_GROUP: usize = 4;
+/// Weight of an engine without free slots, so that engines are sampled also where all are full.
+const FULL_WEIGHT: f64 = 1e-3;
+/// Makes this use of a request's random number independent of others.
 const SALT: u64 = 0x5bd1_e995_9d1b_54a5;
 
-/// An engine and how early it was drawn: the lower the earlier.
-type Draw = (f64, ids::Server);
+/// An engine with its sampling key; the lowest keys are taken.
+type Keyed = (f64, ids::Server);
 
 impl Scheduler {
-    /// The engines that a request looks at; `members` are those that may take it, with the places that each has
-    /// free for it.
-    pub(crate) fn drawn<'a>(
+    /// The engines to consider for a request; `members` are those that may take it, each with its free
+    /// slots.
+    pub(crate) fn sample_engines<'a>(
         &self,
         pending: &Pending,
         members: impl Iterator<Item = (&'a Member, f64)>,
-        homes: [Option<ids::Server>; 2],
+        preferred: [Option<ids::Server>; 2],
     ) -> Vec<ids::Server> {
         let pool = &self.pools[pending.pool];
-        let mut groups: [Vec<Draw>; Group::COUNT] = Default::default();
-        let mut looked_at: Vec<_> = homes.into_iter().flatten().collect();
-        looked_at.extend(self.prefixes.holders(&pending.request.shared));
+        let mut groups: [Vec<Keyed>; Group::COUNT] = Default::default();
+        let mut considered: Vec<_> = preferred.into_iter().flatten().collect();
+        considered.extend(self.prefixes.holders(&pending.request.shared));
         for (member, free) in members {
             let group = pool.isolation.engine_group(member.region, member.rank);
             let salt = self.servers[member.server].terms.salt;
-            groups[group as usize].push((draw(pending.jitter, salt, free), member.server));
+            groups[group as usize].push((sampling_key(pending.jitter, salt, free), member.server));
         }
         for group in &mut groups {
             group.sort_by(|a, b| a.0.total_cmp(&b.0));
-            looked_at.extend(group.iter().take(DRAWN).map(|(_, server)| *server));
+            considered.extend(group.iter().take(SAMPLES_PER_GROUP).map(|(_, server)| *server));
         }
-        looked_at
+        considered
     }
 }
 
-/// A number by which an engine with twice the free places is drawn first twice as often.
-fn draw(jitter: u64, salt: u64, free: f64) -> f64 {
+/// Key of an engine for weighted sampling without replacement (Efraimidis and Spirakis, 2006): an engine
+/// with twice the free slots has the lowest key twice as often.
+fn sampling_key(jitter: u64, salt: u64, free: f64) -> f64 {
     let uniform = (mix64(jitter ^ salt ^ SALT) as f64 + 1.0) / (u64::MAX as f64 + 1.0);
-    -uniform.ln() / free.max(FULL)
+    -uniform.ln() / free.max(FULL_WEIGHT)
 }
 
 #[cfg(test)]
--- a/components/policy/src/server.rs
+++ b/components/policy/src/server.rs
@@ -1,7 +1,7 @@
-//! The state of one backend server: its terms, its reports, and what was sent to it.
+//! Keeps the state of one backend server: its terms, its reports, and what was sent to it.
 //!
-//! Pattern: reports that lag. Disabled the correction every node sends to the server that looked
-//! idle a while ago, all at once.
+//! Load pattern: reports that lag. Without a correction by what was sent since, every node sends to the
+//! server that was idle a while ago, all at once.
 
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
@@ -14,30 +14,32 @@
 use crate::terms::{Report, Server, Share};
 use crate::throttle::Permits;
 
-/// A report counts half after this time: about a third of a stream's life, by when a third of what
-/// it told of has ended.
-const HALF: f64 = 1.0;
-/// Sends and ends that are remembered for the report to come; more than that in a report's lag
-/// outweighs the report anyway.
-const RECENT: usize = 128;
-/// Reports missed in a row that make a server silent: one may be lost or late.
-const MISSED: f64 = 2.5;
-/// Weight of a new token interval in the running mean: some ten tokens show a change.
+/// Half-life of a report's weight, in seconds: about a third of a stream's life, by when a third of the
+/// requests in the report have ended.
+const REPORT_HALF_LIFE_SECONDS: f64 = 1.0;
+/// Sends and ends that are kept to correct the next report; with more than that within a report's lag, they
+/// outweigh the report anyway.
+const MAX_RECENT_CHANGES: usize = 128;
+/// Report intervals without a report after which reports count as stopped: one may be lost or late.
+const MISSED_REPORTS: f64 = 2.5;
+/// Weight of a new value in the moving averages: some ten tokens show a change.
 const WEIGHT: f64 = 0.1;
-/// Token interval of a server of which nothing was heard, in seconds.
+/// Token interval of a server of which nothing is known, in seconds.
 pub(crate) const DEFAULT_TOKEN_SECONDS: f64 = 0.05;
-/// Time to its first token, in seconds.
+/// Time to the first token of such a server, in seconds.
 pub(crate) const DEFAULT_FIRST_TOKEN_SECONDS: f64 = 0.2;
 
 /// One backend server.
 #[derive(Debug)]
 pub(crate) struct State {
     pub(crate) terms: Server,
+    /// Number of this node's requests there.
     pub(crate) sent: u32,
-    /// Requests of this node that are there.
+    /// This node's requests there.
     pub(crate) jobs: Vec<ids::Job>,
-    /// Their places, by rank of urgency.
-    pub(crate) taken: PerPriority,
+    /// Slots that they occupy or wait for, by priority.
+    pub(crate) occupied: PerPriority,
+    /// This node's share of the slots; none where it acts as if it were alone.
     pub(crate) share: Option<Share>,
     pub(crate) health: Health,
     pub(crate) limit: Limit,
@@ -45,14 +47,17 @@
     /// Permits to send to it, if it has named a rate limit.
     pub(crate) permits: Option<Permits>,
     report: Option<Report>,
-    /// What was sent less what ended since the report was made.
-    since: i32,
-    recent: VecDeque<(Instant, i8)>,
-    seen: Option<f64>,
-    first: Option<f64>,
-    heard: Option<Instant>,
-    /// Seconds between reports.
-    cadence: Option<f64>,
+    /// Requests sent less requests ended since the report was made.
+    net_change: i32,
+    /// Those sends and ends, as +1 and -1.
+    recent_changes: VecDeque<(Instant, i8)>,
+    /// Seconds between tokens, averaged over this node's requests.
+    observed_interval: Option<f64>,
+    /// Seconds to the first token, averaged over this node's requests.
+    first_token: Option<f64>,
+    report_received: Option<Instant>,
+    /// Seconds between reports, averaged.
+    report_interval: Option<f64>,
 }
 
 impl State {
@@ -61,84 +66,88 @@
             terms,
             sent: 0,
             jobs: vec![],
-            taken: PerPriority::default(),
+            occupied: PerPriority::default(),
             share: None,
             health: Health::default(),
             limit: Limit::default(),
             prefill: Estimator::default(),
             permits: None,
             report: None,
-            since: 0,
-            recent: VecDeque::new(),
-            seen: None,
-            first: None,
-            heard: None,
-            cadence: None,
+            net_change: 0,
+            recent_changes: VecDeque::new(),
+            observed_interval: None,
+            first_token: None,
+            report_received: None,
+            report_interval: None,
         }
     }
 
+    /// Whether the settings or its report say that it takes no new work.
     pub(crate) fn leaving(&self) -> bool {
         self.terms.leaving || self.report.as_ref().is_some_and(|report| report.leaving)
     }
 
-    /// Requests it runs at once, by settings and report.
+    /// Requests that it runs at once, by settings and report.
     pub(crate) fn slots(&self) -> u32 {
         let reported = self.report.as_ref().map_or(u32::MAX, |report| report.slots.max(1));
         self.terms.slots.min(reported)
     }
 
     /// Requests that this node may have there at once.
-    pub(crate) fn node_slots(&self, without: Disabled) -> u32 {
+    pub(crate) fn node_slots(&self, disabled: Disabled) -> u32 {
         let slots = self.slots();
-        let shared = self.share.filter(|_| without.lacks(Mechanism::SlotSharing));
-        let places = shared.map_or(slots, |share| share.slots.min(slots));
-        self.limit_of(places, without)
+        let shared = self.share.filter(|_| disabled.lacks(Mechanism::SlotSharing));
+        let slots = shared.map_or(slots, |share| share.slots.min(slots));
+        self.apply_adaptive_limit(slots, disabled)
     }
 
-    fn limit_of(&self, places: u32, without: Disabled) -> u32 {
-        if without.lacks(Mechanism::AdaptiveLimit) { self.limit.of(places) } else { places }
+    fn apply_adaptive_limit(&self, slots: u32, disabled: Disabled) -> u32 {
+        if disabled.lacks(Mechanism::AdaptiveLimit) { self.limit.of(slots) } else { slots }
     }
 
-    /// Whether this node may send it one more.
-    pub(crate) fn has_free_slot(&self, without: Disabled) -> bool {
-        self.sent < self.node_slots(without)
+    /// Whether this node may send it one more request.
+    pub(crate) fn has_free_slot(&self, disabled: Disabled) -> bool {
+        self.sent < self.node_slots(disabled)
     }
 
-    /// Whether its rate limit leaves room for one more, if it has named one.
+    /// Whether a permit is left, if it has named a rate limit.
     pub(crate) fn has_permit(&self, now: Instant) -> bool {
         self.permits.as_ref().is_none_or(|permits| permits.available(now))
     }
 
-    /// Whether it seems to have a place, be it this node's or not, and this node holds no more than
-    /// its part: one beyond it is all that a node adds to what an engine may be overrun by.
-    pub(crate) fn has_spare_slots(&self, now: Instant, without: Disabled) -> bool {
-        self.sent <= self.node_slots(without)
-            && self.load(now, without) + 2.0 <= f64::from(self.limit_of(self.slots(), without))
+    /// Whether it seems to have a free slot, in this node's share or another's, and this node's requests
+    /// don't exceed its share. So each node goes beyond its share by one request at most, which bounds by
+    /// how much an engine may be overfilled.
+    pub(crate) fn has_spare_slots(&self, now: Instant, disabled: Disabled) -> bool {
+        self.sent <= self.node_slots(disabled)
+            && self.load(now, disabled) + 2.0
+                <= f64::from(self.apply_adaptive_limit(self.slots(), disabled))
     }
 
-    /// Whether it has no place left, as far as known.
+    /// Whether the requests of this node and its peers occupy all slots, as far as known.
     pub(crate) fn is_full(&self) -> bool {
         self.sent + self.share.map_or(0, |share| share.sent) >= self.slots()
     }
 
-    /// Rank of the highest tier that waits for it at a peer while it is full, as far as known.
-    pub(crate) fn peer_waiting_tier(&self, without: Disabled) -> Option<u8> {
-        let share = self.share.filter(|_| without.lacks(Mechanism::SlotSharing))?;
+    /// The highest tier that waits for it at a peer while it is full, as far as known.
+    pub(crate) fn peer_waiting_tier(&self, disabled: Disabled) -> Option<u8> {
+        let share = self.share.filter(|_| disabled.lacks(Mechanism::SlotSharing))?;
         share.waiting.filter(|_| self.is_full())
     }
 
-    /// Requests there now, as far as can be told.
-    pub(crate) fn load(&self, now: Instant, without: Disabled) -> f64 {
-        let own = f64::from(self.sent + self.share.map_or(0, |share| share.sent));
-        let Some(report) = &self.report else { return own };
-        let told = f64::from(report.running + report.queued);
-        if !without.lacks(Mechanism::LoadCorrection) {
-            return told;
+    /// Estimated number of requests there now, from all nodes: its report, corrected by what this node sent
+    /// since, and with the report's age more and more the requests that this node and its peers know of.
+    pub(crate) fn load(&self, now: Instant, disabled: Disabled) -> f64 {
+        let in_flight = f64::from(self.sent + self.share.map_or(0, |share| share.sent));
+        let Some(report) = &self.report else { return in_flight };
+        let reported = f64::from(report.running + report.queued);
+        if !disabled.lacks(Mechanism::LoadCorrection) {
+            return reported;
         }
         let age = now.saturating_duration_since(report.at).as_secs_f64();
-        let weight = (-age / HALF).exp2();
-        let corrected = (told + f64::from(self.since)).max(f64::from(self.sent));
-        corrected * weight + own * (1.0 - weight)
+        let weight = (-age / REPORT_HALF_LIFE_SECONDS).exp2();
+        let corrected = (reported + f64::from(self.net_change)).max(f64::from(self.sent));
+        corrected * weight + in_flight * (1.0 - weight)
     }
 
     /// Time since its last report was made.
@@ -149,82 +158,85 @@
     /// Seconds between tokens of a stream.
     pub(crate) fn token_interval(&self) -> f64 {
         let reported = self.report.as_ref().map(|report| report.token_interval.as_secs_f64());
-        let known = self.seen.or(reported).filter(|interval| *interval > 0.0);
+        let known = self.observed_interval.or(reported).filter(|interval| *interval > 0.0);
         known.unwrap_or(DEFAULT_TOKEN_SECONDS)
     }
 
-    /// Whether its reports have stopped coming, as they do when a link or the server is down.
+    /// Whether its reports no longer arrive, as happens when a link or the server is down.
     pub(crate) fn reports_stopped(&self, now: Instant) -> bool {
-        let (Some(heard), Some(cadence)) = (self.heard, self.cadence) else { return false };
-        now.saturating_duration_since(heard).as_secs_f64() > cadence * MISSED
+        let (Some(received), Some(interval)) = (self.report_received, self.report_interval) else {
+            return false;
+        };
+        now.saturating_duration_since(received).as_secs_f64() > interval * MISSED_REPORTS
     }
 
-    /// Takes in a report.
+    /// Takes in a report, unless a newer one is known.
     pub(crate) fn apply_report(&mut self, report: Report, now: Instant) {
-        if let Some(last) = self.heard.replace(now) {
+        if let Some(last) = self.report_received.replace(now) {
             let gap = now.saturating_duration_since(last).as_secs_f64();
-            let cadence = self.cadence.get_or_insert(gap);
-            *cadence += (gap.min(*cadence * MISSED) - *cadence) * WEIGHT;
+            let interval = self.report_interval.get_or_insert(gap);
+            *interval += (gap.min(*interval * MISSED_REPORTS) - *interval) * WEIGHT;
         }
-        if self.report.as_ref().is_some_and(|held| held.at > report.at) {
+        if self.report.as_ref().is_some_and(|known| known.at > report.at) {
             return;
         }
-        while self.recent.front().is_some_and(|(at, _)| *at <= report.at) {
-            self.recent.pop_front();
+        while self.recent_changes.front().is_some_and(|(at, _)| *at <= report.at) {
+            self.recent_changes.pop_front();
         }
-        self.since = self.recent.iter().map(|(_, change)| i32::from(*change)).sum();
+        self.net_change = self.recent_changes.iter().map(|(_, change)| i32::from(*change)).sum();
         if self.sent == 0 {
-            // Nothing of this node's runs there to judge by, so the report is all there is.
-            self.seen = None;
+            // With none of this node's requests there, the report is newer than the average.
+            self.observed_interval = None;
         }
         self.report = Some(report);
     }
 
-    /// Takes in the mean time between tokens of a stream.
+    /// Updates the average with the mean time between some tokens of a stream.
     pub(crate) fn record_token_interval(&mut self, interval: Duration) {
         let interval = interval.as_secs_f64();
-        let seen = self.seen.get_or_insert(interval);
-        *seen += (interval - *seen) * WEIGHT;
+        let average = self.observed_interval.get_or_insert(interval);
+        *average += (interval - *average) * WEIGHT;
     }
 
-    /// Takes in the time from a send to the first token.
+    /// Updates the average with the time from a send to the first token.
     pub(crate) fn record_first_token(&mut self, after: Duration) {
         let after = after.as_secs_f64();
-        let first = self.first.get_or_insert(after);
-        *first += (after - *first) * WEIGHT;
+        let average = self.first_token.get_or_insert(after);
+        *average += (after - *average) * WEIGHT;
     }
 
-    /// Seconds from a send to the first token.
+    /// Average seconds from a send to the first token; none if this node received no token from it yet.
     pub(crate) fn first_token_time(&self) -> Option<f64> {
-        self.first
+        self.first_token
     }
 
-    /// Counts a request sent.
-    pub(crate) fn record_send(&mut self, job: ids::Job, rank: u8, now: Instant) {
+    /// Counts a request sent, which uses a permit if it has named a rate limit.
+    pub(crate) fn record_send(&mut self, job: ids::Job, priority: u8, now: Instant) {
         self.sent += 1;
         if let Some(permits) = &mut self.permits {
             permits.take(now);
         }
-        self.taken.add(rank, 1.0);
+        self.occupied.add(priority, 1.0);
         self.jobs.push(job);
-        self.change(1, now);
+        self.record_change(1, now);
     }
 
     /// Counts a request ended.
-    pub(crate) fn record_end(&mut self, job: ids::Job, rank: u8, now: Instant) {
+    pub(crate) fn record_end(&mut self, job: ids::Job, priority: u8, now: Instant) {
         self.sent = self.sent.saturating_sub(1);
-        self.taken.add(rank, -1.0);
-        if let Some(index) = self.jobs.iter().position(|held| *held == job) {
+        self.occupied.add(priority, -1.0);
+        if let Some(index) = self.jobs.iter().position(|other| *other == job) {
             self.jobs.swap_remove(index);
         }
-        self.change(-1, now);
+        self.record_change(-1, now);
     }
 
-    fn change(&mut self, by: i8, now: Instant) {
-        if self.recent.len() == RECENT {
-            self.recent.pop_front();
+    /// Remembers a send or an end until a report covers it.
+    fn record_change(&mut self, change: i8, now: Instant) {
+        if self.recent_changes.len() == MAX_RECENT_CHANGES {
+            self.recent_changes.pop_front();
         }
-        self.recent.push_back((now, by));
-        self.since += i32::from(by);
+        self.recent_changes.push_back((now, change));
+        self.net_change += i32::from(change);
     }
 }
--- a/components/policy/src/stall.rs
+++ b/components/policy/src/stall.rs
@@ -1,91 +1,92 @@
-//! Which engines hang, by the requests that wait there.
+//! Detects engines that have stalled, from the requests that wait there.
 //!
-//! Pattern: an engine that takes requests and begins none, its health check good. No attempt there ends for
-//! as long as its callers wait; without this, all of its sessions are sent there meanwhile, and when callers
-//! leave, what was known by their requests goes with them.
+//! Failure pattern: an engine that accepts requests and starts none, while its health check passes. No attempt
+//! there ends for as long as its callers wait; without this, all of its sessions are sent there meanwhile, and
+//! when the callers leave, what their requests showed is lost.
 
 use std::time::{Duration, Instant};
 
-use crate::engines::EASE;
+use crate::engines::TARGET_FRACTION;
 use crate::mechanism::Mechanism;
 use crate::pending::Pending;
 use crate::priority::PerPriority;
 use crate::scheduler::Scheduler;
 use crate::server;
 
-/// Seconds beyond the usual after which an engine that has begun nothing is taken to hang: it reads
-/// even the longest prompts of the users in less.
-const SILENT: f64 = 0.6;
+/// Seconds that a request must be overdue before an engine that starts nothing counts as stalled: an engine
+/// prefills even the longest prompts in less.
+const STALL_SECONDS: f64 = 0.6;
 
 impl Scheduler {
-    /// Seconds that a request of a rank must count on at an engine since others wait there for longer than is
-    /// usual. Those as urgent as it, or more, are served before it. That less urgent ones wait says
-    /// nothing, as engines take the urgent first, unless the engine begins nothing at all.
+    /// Seconds that a request of a priority must expect to wait at an engine because others there are overdue.
+    /// Requests of its priority or a higher one are served before it. That a request of lower priority waits
+    /// tells nothing, as engines serve it last, unless the engine starts nothing at all.
     ///
-    /// Counted whatever their rank, one long prompt of the lowest class that waits out a rush bars its
-    /// engine to all classes; soon each engine has one, and the urgent requests crowd at the few that
-    /// haven't, where they wait for too long themselves.
-    pub(crate) fn held_up(&self, known: &server::State, rank: u8, now: Instant) -> f64 {
-        let here = self.overdue_here(known, now);
-        let as_urgent = here.max_up_to(rank).max(known.prefill.overdue(rank, now));
-        let any = here.max_up_to(u8::MAX).max(known.prefill.overdue(u8::MAX, now));
-        as_urgent.max(any.min(self.silent(known, now)))
+    /// If requests of every priority counted, one long prompt of the lowest class that waits through a burst
+    /// would close its engine to all classes. Soon each engine has such a prompt, and requests of high priority
+    /// crowd at the few engines that have none, where they wait for too long themselves.
+    pub(crate) fn overdue_wait(&self, state: &server::State, priority: u8, now: Instant) -> f64 {
+        let own = self.own_overdue(state, now);
+        let by_priority = own.max_up_to(priority).max(state.prefill.peer_overdue(priority, now));
+        let any = own.max_up_to(u8::MAX).max(state.prefill.peer_overdue(u8::MAX, now));
+        by_priority.max(any.min(self.seconds_since_first_token(state, now)))
     }
 
-    /// Seconds for which an engine has begun nothing, as far as any node told.
-    fn silent(&self, known: &server::State, now: Instant) -> f64 {
-        let begun = known.prefill.last_begun();
-        begun.map_or(f64::INFINITY, |begun| now.saturating_duration_since(begun).as_secs_f64())
+    /// Seconds since an engine last sent a first token, as far as any node reported.
+    fn seconds_since_first_token(&self, state: &server::State, now: Instant) -> f64 {
+        let last = state.prefill.last_first_token();
+        last.map_or(f64::INFINITY, |last| now.saturating_duration_since(last).as_secs_f64())
     }
 
-    /// Seconds by which requests of this node wait at a server for longer than is usual, by rank. One that
-    /// hangs or falls silent ends no attempt for as long as its callers wait; all that is sent there
-    /// meanwhile waits as well.
-    pub(crate) fn overdue_here(&self, known: &server::State, now: Instant) -> PerPriority {
+    /// Seconds by which this node's requests at a server are overdue, by priority. A server that stalls or no
+    /// longer responds ends no attempt for as long as its callers wait; all that is sent there meanwhile
+    /// waits as well.
+    pub(crate) fn own_overdue(&self, state: &server::State, now: Instant) -> PerPriority {
         let mut overdue = PerPriority::default();
         if !self.disabled.lacks(Mechanism::StallDetection) {
             return overdue;
         }
-        for pending in known.jobs.iter().filter_map(|job| self.jobs.get(*job)) {
-            overdue.raise(pending.priority, self.overdue_by(pending, known, now));
+        for pending in state.jobs.iter().filter_map(|job| self.jobs.get(*job)) {
+            overdue.raise(pending.priority, self.overdue_by(pending, state, now));
         }
         overdue
     }
 
-    /// The longest of those.
-    pub(crate) fn longest_own_overdue(&self, known: &server::State, now: Instant) -> f64 {
-        self.overdue_here(known, now).max_up_to(u8::MAX)
+    /// The longest of [`Scheduler::own_overdue`] over all priorities.
+    pub(crate) fn longest_own_overdue(&self, state: &server::State, now: Instant) -> f64 {
+        self.own_overdue(state, now).max_up_to(u8::MAX)
     }
 
-    /// Seconds by which a request waits longer for the start of its answer than is usual; negative
-    /// before that, and none once it has begun.
-    fn overdue_by(&self, pending: &Pending, known: &server::State, now: Instant) -> f64 {
+    /// Seconds by which a request waits longer than expected for its first token; negative before that, and
+    /// zero once the token has come.
+    fn overdue_by(&self, pending: &Pending, state: &server::State, now: Instant) -> f64 {
         if pending.last_token.is_some() {
             return 0.0;
         }
         let target = self.classes.get(pending.request.class).map(|class| class.first_token);
-        let usual = target.unwrap_or_default().as_secs_f64() * EASE;
+        let usual = target.unwrap_or_default().as_secs_f64() * TARGET_FRACTION;
         let waited = now.saturating_duration_since(pending.sent_at).as_secs_f64();
-        waited - usual.max(pending.prefill + known.prefill.least())
+        waited - usual.max(pending.prefill + state.prefill.base_latency())
     }
 
-    /// Whether an engine can be relied on to hand over what it keeps: none of this node's requests waits too
-    /// long there, and where one of another node's does, somebody saw it begin something of late.
-    pub(crate) fn hands_over(&self, known: &server::State, now: Instant) -> bool {
-        let then = now.checked_sub(Duration::from_secs_f64(SILENT));
-        let begins = then.is_some_and(|then| known.prefill.last_begun() > Some(then));
-        let answers = begins || known.prefill.overdue(u8::MAX, now) <= SILENT;
-        answers && self.longest_own_overdue(known, now) <= 0.0
+    /// Whether other engines can rely on an engine to send them its cached prefixes: none of this node's
+    /// requests is overdue there, and where one of another node's is, some node received a first token from
+    /// it recently.
+    pub(crate) fn can_serve_prefixes(&self, state: &server::State, now: Instant) -> bool {
+        let since = now.checked_sub(Duration::from_secs_f64(STALL_SECONDS));
+        let active = since.is_some_and(|since| state.prefill.last_first_token() > Some(since));
+        let responsive = active || state.prefill.peer_overdue(u8::MAX, now) <= STALL_SECONDS;
+        responsive && self.longest_own_overdue(state, now) <= 0.0
     }
 
-    /// Whether an engine hangs, as far as a request tells whose caller goes away: it waits longer than
-    /// is usual, and nobody saw the engine begin anything since it was sent. Of some dozens of nodes each
-    /// has few requests at an engine: going by its own, each leaves out one that is merely full.
+    /// Whether a request whose caller leaves shows that its engine has stalled: it is overdue, and no node
+    /// received a first token from the engine since it was sent. Each of some dozens of nodes has few requests
+    /// at an engine; if each went by its own alone, it would eject an engine that is only full.
     pub(crate) fn stalled(&self, pending: &Pending, server: ids::Server, now: Instant) -> bool {
-        let Some(known) = self.servers.get(server) else { return false };
-        let reads =
-            known.terms.prefill_rate.is_some() && self.disabled.lacks(Mechanism::StallDetection);
-        let silent = known.prefill.last_begun() <= Some(pending.sent_at);
-        reads && silent && self.overdue_by(pending, known, now) > SILENT
+        let Some(state) = self.servers.get(server) else { return false };
+        let detects =
+            state.terms.prefill_rate.is_some() && self.disabled.lacks(Mechanism::StallDetection);
+        let idle = state.prefill.last_first_token() <= Some(pending.sent_at);
+        detects && idle && self.overdue_by(pending, state, now) > STALL_SECONDS
     }
 }
