--- a/components/policy/src/server.rs
+++ b/components/policy/src/server.rs
@@ -102,7 +102,11 @@
     }
 
     fn apply_adaptive_limit(&self, slots: u32, disabled: Disabled) -> u32 {
-        if disabled.lacks(Mechanism::AdaptiveLimit) { self.limit.of(slots) } else { slots }
+        if disabled.lacks(Mechanism::AdaptiveLimit) {
+            self.limit.usable_slots(slots)
+        } else {
+            slots
+        }
     }
 
     /// Whether this node may send it one more request.
