--- a/components/policy/src/demand.rs
+++ b/components/policy/src/demand.rs
@@ -2,8 +2,8 @@
 //!
 //! Load pattern: overload on all nodes alike. The number of waiting requests varies from one moment
 //! to the next. Reported unsmoothed, it makes peers pass slots to each other for demand that is gone
-//! by the time they arrive, and a slot that moves between nodes stays empty until the last answer in it
-//! has ended.
+//! by the time they arrive, and a slot that moves to another node stays unused by it until the previous
+//! owner's last answer in it has ended.
 
 use std::time::Duration;
 
--- a/components/policy/src/lib.rs
+++ b/components/policy/src/lib.rs
@@ -22,6 +22,7 @@
 mod pending;
 mod pick;
 mod pool;
+mod preemption;
 mod prefill;
 mod prefix;
 mod priority;
@@ -34,7 +35,6 @@
 mod slots;
 mod stall;
 mod status;
-mod stop;
 mod terms;
 mod throttle;
 
--- a/components/policy/src/stop.rs
+++ b/components/policy/src/preemption.rs
@@ -128,7 +128,7 @@
         target.unwrap_or_default().saturating_sub(waited).as_secs_f64()
     }
 
-    /// Whether a request has waited for a substantial part of its first-token target, but would still meet
+    /// Whether a request has waited at least [`AT_RISK_PART`] of its first-token target, but would still meet
     /// it if sent now.
     pub(crate) fn target_at_risk(&self, pending: &Pending, now: Instant) -> bool {
         let Some(class) = self.classes.get(pending.request.class) else { return false };
