--- a/components/policy/tests/common/fleet.rs
+++ b/components/policy/tests/common/fleet.rs
@@ -10,7 +10,7 @@
 use rand::{Rng, SeedableRng};
 
 use super::Fixture;
-use super::prompts::{DRAFT, READS, engines, request};
+use super::prompts::{DRAFT, PREFILL_RATE, fixture_with_engines, request};
 
 /// Time between two steps; a stream that runs gets a token in each second one.
 const STEP: Duration = Duration::from_millis(10);
@@ -20,7 +20,7 @@
 /// A caller whose answer hasn't begun by then goes away.
 const PATIENCE: Duration = Duration::from_secs(2);
 /// Time to a first token that callers of streams hope for.
-pub const TARGET: Duration = Duration::from_millis(400);
+pub const FIRST_TOKEN_TARGET: Duration = Duration::from_millis(400);
 /// Tokens of an answer.
 const STREAM_TOKENS: u32 = 150;
 const DRAFT_TOKENS: u32 = 40;
@@ -45,13 +45,13 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Count {
     pub sent: u32,
-    pub begun: u32,
-    /// Those of them that began later than [`TARGET`].
+    pub started: u32,
+    /// Those of them that began later than [`FIRST_TOKEN_TARGET`].
     pub late: u32,
     /// Their callers went away before the answer began.
-    pub given_up: u32,
+    pub abandoned: u32,
     /// Longest time to a first token.
-    pub longest: Duration,
+    pub longest_first_token: Duration,
 }
 
 /// A request at an engine.
@@ -84,7 +84,7 @@
 impl Fleet {
     pub fn new(site: Site, seed: u64, without: Option<Mechanism>) -> Self {
         let mut nodes: Vec<_> =
-            (0..site.nodes).map(|_| engines(site.engines, site.slots)).collect();
+            (0..site.nodes).map(|_| fixture_with_engines(site.engines, site.slots)).collect();
         for node in &mut nodes {
             let scheduler = std::mem::take(&mut node.scheduler);
             node.scheduler = without.into_iter().fold(scheduler, |all, one| all.with_disabled(one));
@@ -97,7 +97,7 @@
     }
 
     /// Plays for so many seconds; `loads` in the order of their beginnings.
-    pub fn play(&mut self, seconds: u64, loads: &[Load]) {
+    pub fn run(&mut self, seconds: u64, loads: &[Load]) {
         let steps_a_second = Duration::from_secs(1).as_millis() / STEP.as_millis();
         for _ in 0..u128::from(seconds) * steps_a_second {
             let second = self.step / steps_a_second as u64;
@@ -132,7 +132,7 @@
         node.scheduler.poll(node.now, &mut actions);
         for action in actions {
             let Action::Send { job, server } = action else { continue };
-            let reads = tokens / f64::from(READS) / STEP.as_secs_f64();
+            let reads = tokens / f64::from(PREFILL_RATE) / STEP.as_secs_f64();
             let tokens = if class == DRAFT { DRAFT_TOKENS } else { STREAM_TOKENS };
             let run = Run { node: index, job, class, arrived: self.step, reads, tokens };
             self.engines.get_mut(&server).unwrap().waiting.push(run);
@@ -146,7 +146,7 @@
         for engine in self.engines.values_mut() {
             let gone = |run: &Run| STEP * (step - run.arrived) as u32 > PATIENCE;
             for run in engine.waiting.extract_if(.., |run| gone(run)) {
-                self.counts[run.class].given_up += 1;
+                self.counts[run.class].abandoned += 1;
                 let node = &mut self.nodes[run.node];
                 node.scheduler.attempt_ended(run.job, Ending::Cancelled, node.now);
             }
@@ -169,10 +169,10 @@
                 let node = &mut self.nodes[run.node];
                 if first {
                     let count = &mut self.counts[run.class];
-                    count.begun += 1;
+                    count.started += 1;
                     let took = STEP * (step - run.arrived) as u32;
-                    count.late += u32::from(took > TARGET);
-                    count.longest = count.longest.max(took);
+                    count.late += u32::from(took > FIRST_TOKEN_TARGET);
+                    count.longest_first_token = count.longest_first_token.max(took);
                 }
                 run.tokens -= 1;
                 node.scheduler.record_tokens(run.job, 1, node.now);
@@ -197,7 +197,7 @@
             let mut sends = vec![];
             for (_, (loads, rates)) in others {
                 for load in loads {
-                    let sum = sums.entry(load.server).or_insert_with(|| none(load.server));
+                    let sum = sums.entry(load.server).or_insert_with(|| empty_backlog(load.server));
                     merge(&mut sum.prefill, &load.prefill, |a, b| a + b);
                     merge(&mut sum.overdue, &load.overdue, f64::max);
                     merge(&mut sum.occupied, &load.occupied, |a, b| a + b);
@@ -214,7 +214,7 @@
 }
 
 /// Nothing is told of an engine.
-pub fn none(server: ids::Server) -> Backlog {
+pub fn empty_backlog(server: ids::Server) -> Backlog {
     Backlog { server, ..Backlog::default() }
 }
 
--- a/components/policy/tests/common/mod.rs
+++ b/components/policy/tests/common/mod.rs
@@ -10,7 +10,7 @@
 use slotmap::SlotMap;
 
 /// Requests that may wait at once.
-pub const ROOM: usize = 8;
+pub const QUEUE_CAPACITY: usize = 8;
 /// Longest wait of every class.
 pub const LONGEST_WAIT: Duration = Duration::from_secs(5);
 
@@ -23,7 +23,7 @@
     pub now: Instant,
 }
 
-pub fn keys<K: slotmap::Key>(count: usize) -> Vec<K> {
+pub fn new_keys<K: slotmap::Key>(count: usize) -> Vec<K> {
     let mut map = SlotMap::<K, ()>::with_key();
     (0..count).map(|_| map.insert(())).collect()
 }
@@ -59,10 +59,10 @@
     /// Three classes, one for each tier.
     pub fn new(workspaces: usize, servers: usize, slots: u32, queue: usize) -> Self {
         let mut scheduler = Scheduler::with_seed(1);
-        let classes = keys(3);
-        let workspaces = keys(workspaces);
-        let servers = keys(servers);
-        let model = keys(1)[0];
+        let classes = new_keys(3);
+        let workspaces = new_keys(workspaces);
+        let servers = new_keys(servers);
+        let model = new_keys(1)[0];
         scheduler.set_limits(Limits {
             retry_percent: 10,
             retry_burst: policy::RETRY_BURST,
--- a/components/policy/tests/common/prompts.rs
+++ b/components/policy/tests/common/prompts.rs
@@ -8,17 +8,17 @@
 use super::{Fixture, class, server};
 
 /// Tokens that an engine of the tests reads in a second.
-pub const READS: u32 = 75_000;
+pub const PREFILL_RATE: u32 = 75_000;
 pub const ENGINES: usize = 8;
 pub const STEADY: usize = 0;
 pub const DRAFT: usize = 2;
 
 pub fn fixture() -> Fixture {
-    engines(ENGINES, 128)
+    fixture_with_engines(ENGINES, 128)
 }
 
 /// A node before so many engines with so many places each.
-pub fn engines(count: usize, slots: u32) -> Fixture {
+pub fn fixture_with_engines(count: usize, slots: u32) -> Fixture {
     let mut fixture = Fixture::new(1, count, slots, 1_000);
     // As a node before engines that queue by themselves: nothing is given up by its forecast.
     fixture.scheduler = std::mem::take(&mut fixture.scheduler)
@@ -26,8 +26,10 @@
         .with_disabled(Mechanism::EarlyRefusal)
         .with_disabled(Mechanism::Preemption);
     for (index, key) in fixture.servers.iter().enumerate() {
-        let terms =
-            Server { prefill_rate: Some(READS), ..server(index as u64 + 1, slots, fixture.model) };
+        let terms = Server {
+            prefill_rate: Some(PREFILL_RATE),
+            ..server(index as u64 + 1, slots, fixture.model)
+        };
         fixture.scheduler.set_server(*key, terms);
     }
     for (index, bears) in [(STEADY, 60), (1, 100), (DRAFT, 250)] {
@@ -67,24 +69,24 @@
 }
 
 /// Serves a request whole; its first token comes after `first`.
-pub fn serve(fixture: &mut Fixture, job: ids::Job, first: Duration) {
+pub fn complete(fixture: &mut Fixture, job: ids::Job, first: Duration) {
     fixture.now += first;
     fixture.scheduler.record_tokens(job, 4, fixture.now);
     fixture.scheduler.attempt_ended(job, Ending::Completed, fixture.now);
 }
 
 /// Lets both kinds of work be known.
-pub fn warm(fixture: &mut Fixture) {
+pub fn warm_up(fixture: &mut Fixture) {
     for session in 0..200 {
         for class in [STEADY, DRAFT] {
             let (job, _) = send(fixture, class, session);
-            serve(fixture, job, Duration::from_millis(10));
+            complete(fixture, job, Duration::from_millis(10));
         }
     }
 }
 
 /// Lets engines take over prompts from each other, some hundred times as fast as they read.
-pub fn linked(fixture: &mut Fixture) {
+pub fn enable_fetch(fixture: &mut Fixture) {
     let way = Fetch { tokens_per_second: 5_000_000.0, setup: Duration::from_millis(5) };
     for key in fixture.servers.clone() {
         fixture.scheduler.set_fetch(key, Some(way));
@@ -92,7 +94,7 @@
 }
 
 /// Other nodes have so many seconds of prompts at an engine.
-pub fn told(fixture: &mut Fixture, server: ids::Server, seconds: f64, overdue: f64) {
+pub fn report_peer_backlog(fixture: &mut Fixture, server: ids::Server, seconds: f64, overdue: f64) {
     let by_rank = |seconds| vec![0.0, 0.0, seconds];
     let (reading, overdue) = (by_rank(seconds), by_rank(overdue));
     let backlog =
--- a/components/policy/tests/engines.rs
+++ b/components/policy/tests/engines.rs
@@ -7,7 +7,8 @@
 use std::time::Duration;
 
 use common::prompts::{
-    DRAFT, ENGINES, READS, STEADY, fixture, linked, request, send, serve, told, warm,
+    DRAFT, ENGINES, PREFILL_RATE, STEADY, complete, enable_fetch, fixture, report_peer_backlog,
+    request, send, warm_up,
 };
 use common::server;
 use policy::{Cached, Ending, Policy, Server};
@@ -17,7 +18,7 @@
 #[test]
 fn sessions_come_back_to_where_they_were_read() {
     let mut fixture = fixture();
-    warm(&mut fixture);
+    warm_up(&mut fixture);
     let mut homes = BTreeMap::new();
     let mut moved = 0;
     for _ in 0..5 {
@@ -25,9 +26,9 @@
             let (job, server) = send(&mut fixture, DRAFT, session);
             let last = homes.insert(session, server);
             moved += usize::from(last.is_some_and(|last| last != server));
-            serve(&mut fixture, job, Duration::from_millis(10));
+            complete(&mut fixture, job, Duration::from_millis(10));
             let (job, _) = send(&mut fixture, STEADY, session);
-            serve(&mut fixture, job, Duration::from_millis(10));
+            complete(&mut fixture, job, Duration::from_millis(10));
         }
     }
     // A border between the groups may move once and take one engine's sessions with it.
@@ -43,13 +44,13 @@
 #[test]
 fn steady_streams_and_long_prompts_keep_apart() {
     let mut fixture = fixture();
-    warm(&mut fixture);
+    warm_up(&mut fixture);
     let mut by_class = [vec![], vec![]];
     for session in 0..200 {
         for (index, class) in [STEADY, DRAFT].into_iter().enumerate() {
             let (job, server) = send(&mut fixture, class, session);
             by_class[index].push(server);
-            serve(&mut fixture, job, Duration::from_millis(10));
+            complete(&mut fixture, job, Duration::from_millis(10));
         }
     }
     let [steady, drafts] = by_class;
@@ -62,7 +63,7 @@
 #[test]
 fn a_hot_session_spills_once_it_would_be_late() {
     let mut fixture = fixture();
-    warm(&mut fixture);
+    warm_up(&mut fixture);
     let mut count: BTreeMap<ids::Server, usize> = BTreeMap::new();
     for _ in 0..200 {
         let (_, server) = send(&mut fixture, DRAFT, 7);
@@ -79,9 +80,9 @@
 #[test]
 fn an_engine_that_fails_a_part_is_left_for_others() {
     let mut fixture = fixture();
-    warm(&mut fixture);
+    warm_up(&mut fixture);
     let (job, bad) = send(&mut fixture, DRAFT, 7);
-    serve(&mut fixture, job, Duration::from_millis(100));
+    complete(&mut fixture, job, Duration::from_millis(100));
     let mut there = 0;
     for n in 0..60 {
         let (job, server) = send(&mut fixture, DRAFT, 7);
@@ -100,13 +101,13 @@
 #[test]
 fn an_engine_that_hangs_is_left_before_anything_failed() {
     let mut fixture = fixture();
-    warm(&mut fixture);
+    warm_up(&mut fixture);
     let (_hanging, bad) = send(&mut fixture, DRAFT, 7);
     fixture.now += Duration::from_secs(3);
     for _ in 0..20 {
         let (job, server) = send(&mut fixture, DRAFT, 7);
         assert_ne!(server, bad);
-        serve(&mut fixture, job, Duration::from_millis(50));
+        complete(&mut fixture, job, Duration::from_millis(50));
     }
 }
 
@@ -115,7 +116,7 @@
 #[test]
 fn an_engine_that_hangs_stays_known_when_the_caller_leaves() {
     let mut fixture = fixture();
-    warm(&mut fixture);
+    warm_up(&mut fixture);
     let (hanging, bad) = send(&mut fixture, STEADY, 7);
     fixture.now += Duration::from_secs(2);
     fixture.scheduler.attempt_ended(hanging, Ending::Cancelled, fixture.now);
@@ -133,7 +134,7 @@
 #[test]
 fn an_engine_that_is_merely_slow_stays() {
     let mut fixture = fixture();
-    warm(&mut fixture);
+    warm_up(&mut fixture);
     let (waiting, slow) = send(&mut fixture, STEADY, 7);
     let beside = (0..100).map(|session| send(&mut fixture, STEADY, session));
     let (other, _) = beside.into_iter().find(|(_, server)| *server == slow).unwrap();
@@ -149,12 +150,12 @@
 #[test]
 fn the_other_region_serves_when_nothing_near_is_left() {
     let mut fixture = fixture();
-    let far: ids::Region = common::keys(2)[1];
+    let far: ids::Region = common::new_keys(2)[1];
     for (index, key) in fixture.servers.clone().iter().enumerate() {
         let near = index < ENGINES - 2;
         let region = if near { ids::Region::default() } else { far };
         let terms = server(index as u64 + 1, 128, fixture.model);
-        let terms = Server { prefill_rate: Some(READS), region, leaving: near, ..terms };
+        let terms = Server { prefill_rate: Some(PREFILL_RATE), region, leaving: near, ..terms };
         fixture.scheduler.set_server(*key, terms);
     }
     for session in 0..20 {
@@ -183,14 +184,14 @@
 #[test]
 fn a_home_that_others_fill_is_left_and_its_copy_taken_along() {
     let mut fixture = fixture();
-    linked(&mut fixture);
-    warm(&mut fixture);
+    enable_fetch(&mut fixture);
+    warm_up(&mut fixture);
     let (job, home) = send(&mut fixture, DRAFT, 7);
-    serve(&mut fixture, job, Duration::from_millis(50));
+    complete(&mut fixture, job, Duration::from_millis(50));
     let (job, stays) = send(&mut fixture, DRAFT, 7);
     assert_eq!(stays, home, "nothing was told yet");
-    serve(&mut fixture, job, Duration::from_millis(50));
-    told(&mut fixture, home, 4.0, 0.0);
+    complete(&mut fixture, job, Duration::from_millis(50));
+    report_peer_backlog(&mut fixture, home, 4.0, 0.0);
     let (job, other) = send(&mut fixture, DRAFT, 7);
     assert_ne!(other, home);
     let expected = fixture.scheduler.expected(job).unwrap();
@@ -204,12 +205,12 @@
 #[test]
 fn an_engine_that_hangs_for_others_is_no_source() {
     let mut fixture = fixture();
-    linked(&mut fixture);
-    warm(&mut fixture);
+    enable_fetch(&mut fixture);
+    warm_up(&mut fixture);
     let (job, home) = send(&mut fixture, DRAFT, 7);
-    serve(&mut fixture, job, Duration::from_millis(50));
+    complete(&mut fixture, job, Duration::from_millis(50));
     fixture.now += Duration::from_secs(2);
-    told(&mut fixture, home, 0.5, 5.0);
+    report_peer_backlog(&mut fixture, home, 0.5, 5.0);
     let (job, other) = send(&mut fixture, DRAFT, 7);
     assert_ne!(other, home);
     assert_eq!(fixture.scheduler.expected(job).unwrap().fetch, None);
@@ -222,23 +223,23 @@
 fn sessions_stay_where_they_were_read_when_engines_come() {
     let mut fixture = fixture();
     let (job, _) = send(&mut fixture, DRAFT, 7);
-    serve(&mut fixture, job, Duration::from_millis(10));
+    complete(&mut fixture, job, Duration::from_millis(10));
     fixture.now += Duration::from_secs(60);
     let mut homes = vec![];
     for session in 0..50 {
         let (job, home) = send(&mut fixture, DRAFT, session);
-        serve(&mut fixture, job, Duration::from_millis(10));
+        complete(&mut fixture, job, Duration::from_millis(10));
         homes.push(home);
     }
-    let added: Vec<ids::Server> = common::keys(ENGINES + 4).split_off(ENGINES);
+    let added: Vec<ids::Server> = common::new_keys(ENGINES + 4).split_off(ENGINES);
     for (index, key) in added.iter().enumerate() {
         let terms = server((ENGINES + index) as u64 + 1, 128, fixture.model);
-        fixture.scheduler.set_server(*key, Server { prefill_rate: Some(READS), ..terms });
+        fixture.scheduler.set_server(*key, Server { prefill_rate: Some(PREFILL_RATE), ..terms });
     }
     for (session, home) in homes.into_iter().enumerate() {
         let (job, server) = send(&mut fixture, DRAFT, session as u64);
         assert_eq!(server, home, "session {session}");
-        serve(&mut fixture, job, Duration::from_millis(10));
+        complete(&mut fixture, job, Duration::from_millis(10));
     }
 }
 
@@ -246,10 +247,10 @@
 #[test]
 fn what_others_saw_an_engine_keep_draws_a_session_there() {
     let mut fixture = fixture();
-    warm(&mut fixture);
+    warm_up(&mut fixture);
     fixture.now += Duration::from_secs(60);
     let (job, home) = send(&mut fixture, DRAFT, 7);
-    serve(&mut fixture, job, Duration::from_millis(10));
+    complete(&mut fixture, job, Duration::from_millis(10));
     fixture.now += Duration::from_secs(60);
     let part = request(&fixture, DRAFT, 7).shared[0].id;
     let groupmate = (0..200).map(|session| send(&mut fixture, DRAFT, session));
--- a/components/policy/tests/isolation.rs
+++ b/components/policy/tests/isolation.rs
@@ -5,7 +5,7 @@
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
 
-use common::prompts::{DRAFT, READS, engines, request};
+use common::prompts::{DRAFT, PREFILL_RATE, fixture_with_engines, request};
 use common::{Fixture, class};
 use policy::{Action, Class, Ending, Mechanism, Policy, Request};
 
@@ -25,7 +25,7 @@
 const QUERY_TOKENS: u32 = 2_400;
 
 fn site(without: Option<Mechanism>) -> Fixture {
-    let mut fixture = engines(ENGINES, SLOTS);
+    let mut fixture = fixture_with_engines(ENGINES, SLOTS);
     for (index, bears) in BEARS_MS.into_iter().enumerate() {
         let token_interval = Duration::from_millis(bears);
         let terms = Class { token_interval, ..class(index as u8, 1_000) };
@@ -56,7 +56,7 @@
                 continue;
             }
             let request = prompt(&fixture, class, step % 200);
-            let seconds = f64::from(request.prompt_tokens) / f64::from(READS);
+            let seconds = f64::from(request.prompt_tokens) / f64::from(PREFILL_RATE);
             let job = fixture.scheduler.submit(request, fixture.now);
             let mut actions = vec![];
             fixture.scheduler.poll(fixture.now, &mut actions);
--- a/components/policy/tests/places.rs
+++ b/components/policy/tests/places.rs
@@ -5,8 +5,8 @@
 use std::time::Duration;
 
 use common::Fixture;
-use common::fleet::{Count, Fleet, Load, Site, none};
-use common::prompts::{STEADY, fixture, send, warm};
+use common::fleet::{Count, Fleet, Load, Site, empty_backlog};
+use common::prompts::{STEADY, fixture, send, warm_up};
 use policy::{Backlog, Ending, Mechanism, Policy};
 use proptest::prelude::*;
 
@@ -25,7 +25,7 @@
 fn burst(without: Option<Mechanism>) -> Vec<(Count, Count)> {
     let play = |seed| {
         let mut fleet = Fleet::new(SITE, seed, without);
-        fleet.play(SECONDS, &LOADS);
+        fleet.run(SECONDS, &LOADS);
         let [streams, _, drafts] = fleet.counts;
         (streams, drafts)
     };
@@ -40,8 +40,11 @@
 #[test]
 fn a_burst_of_streams_finds_places_while_drafts_begin() {
     for (seed, (streams, drafts)) in burst(None).into_iter().enumerate() {
-        assert!(streams.given_up * EXCUSED <= streams.sent, "seed {seed}: {streams:?}, {drafts:?}");
-        assert!(drafts.begun * 2 > drafts.sent, "seed {seed}: {drafts:?}");
+        assert!(
+            streams.abandoned * EXCUSED <= streams.sent,
+            "seed {seed}: {streams:?}, {drafts:?}"
+        );
+        assert!(drafts.started * 2 > drafts.sent, "seed {seed}: {drafts:?}");
     }
 }
 
@@ -60,7 +63,7 @@
 fn nodes_that_know_the_same_dont_fill_one_engine() {
     for seed in 0..3 {
         let mut fleet = Fleet::new(LARGE, seed, None);
-        fleet.play(12, &LARGE_LOADS);
+        fleet.run(12, &LARGE_LOADS);
         let streams = fleet.counts[0];
         assert!(streams.late * LATE <= streams.sent, "seed {seed}: {streams:?}");
     }
@@ -73,8 +76,8 @@
     let played = burst(Some(Mechanism::SlotCounts));
     let streams = || played.iter().map(|(streams, _)| streams);
     let sent: u32 = streams().map(|count| count.sent).sum();
-    let given_up: u32 = streams().map(|count| count.given_up).sum();
-    assert!(given_up * EXCUSED > sent, "{given_up} of {sent}");
+    let abandoned: u32 = streams().map(|count| count.abandoned).sum();
+    assert!(abandoned * EXCUSED > sent, "{abandoned} of {sent}");
 }
 
 /// Lets it be known that a stream takes its place for some seconds.
@@ -110,7 +113,7 @@
     ) {
         prop_assume!(full.contains(&false));
         let mut fixture = fixture();
-        warm(&mut fixture);
+        warm_up(&mut fixture);
         long_answers(&mut fixture);
         let engines = fixture.servers.iter().zip(&full);
         let rows: Vec<_> = engines
--- a/components/policy/tests/properties.rs
+++ b/components/policy/tests/properties.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use common::{Fixture, LONGEST_WAIT, ROOM};
+use common::{Fixture, LONGEST_WAIT, QUEUE_CAPACITY};
 use policy::{Action, Ending, Mechanism, Policy, Refusal, Report, Share, Workspace};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -72,7 +72,7 @@
 
 impl Run {
     fn new() -> Self {
-        let fixture = Fixture::new(4, 3, 2, ROOM);
+        let fixture = Fixture::new(4, 3, 2, QUEUE_CAPACITY);
         let open = BTreeMap::new();
         Run { fixture, open, submitted: 0, ended: 0, fresh: 0, attempts: 0, stops: 0 }
     }
@@ -131,7 +131,7 @@
             }
         }
         // What was in flight may come back to a queue that has filled meanwhile.
-        assert!(self.fixture.scheduler.waiting() <= ROOM + PLACES);
+        assert!(self.fixture.scheduler.waiting() <= QUEUE_CAPACITY + PLACES);
     }
 
     fn step(&mut self, step: &Step) {
--- a/components/policy/tests/urgency.rs
+++ b/components/policy/tests/urgency.rs
@@ -5,7 +5,7 @@
 
 use std::time::Duration;
 
-use common::prompts::{DRAFT, ENGINES, STEADY, fixture, linked, send, serve, warm};
+use common::prompts::{DRAFT, ENGINES, STEADY, complete, enable_fetch, fixture, send, warm_up};
 use policy::{Backlog, Ending, Policy};
 use proptest::prelude::*;
 
@@ -21,7 +21,7 @@
 #[test]
 fn a_waiting_draft_bars_its_engine_to_no_stream() {
     let mut fixture = fixture();
-    warm(&mut fixture);
+    warm_up(&mut fixture);
     let overdue = vec![0.0, 0.0, 6.0];
     let begun = Some(Duration::from_millis(20));
     let engines = fixture.servers[1..].iter();
@@ -49,7 +49,7 @@
 #[test]
 fn an_engine_that_begins_nothing_is_left_by_all() {
     let mut fixture = fixture();
-    warm(&mut fixture);
+    warm_up(&mut fixture);
     let (_, bad) = send(&mut fixture, STEADY, 7);
     fixture.now += Duration::from_secs(6);
     let told = Backlog { overdue: vec![0.0, 0.0, 5.0], ..none(bad) };
@@ -65,7 +65,7 @@
 #[test]
 fn an_engine_that_others_see_begin_is_not_left_out() {
     let mut fixture = fixture();
-    warm(&mut fixture);
+    warm_up(&mut fixture);
     fixture.now += Duration::from_secs(20);
     let (job, full) = send(&mut fixture, STEADY, 7);
     fixture.now += Duration::from_secs(2);
@@ -81,10 +81,10 @@
 #[test]
 fn an_engine_that_others_see_begin_is_a_source() {
     let mut fixture = fixture();
-    linked(&mut fixture);
-    warm(&mut fixture);
+    enable_fetch(&mut fixture);
+    warm_up(&mut fixture);
     let (job, home) = send(&mut fixture, DRAFT, 7);
-    serve(&mut fixture, job, Duration::from_millis(50));
+    complete(&mut fixture, job, Duration::from_millis(50));
     fixture.now += Duration::from_secs(2);
     let begun = Some(Duration::from_millis(20));
     let told = Backlog { overdue: vec![0.0, 0.0, 5.0], since_first_token: begun, ..none(home) };
@@ -94,7 +94,7 @@
     assert_eq!(fixture.scheduler.expected(job).unwrap().fetch, Some(home));
 }
 
-fn none(server: ids::Server) -> Backlog {
+fn empty_backlog(server: ids::Server) -> Backlog {
     Backlog { server, prefill: vec![], overdue: vec![], occupied: vec![], since_first_token: None }
 }
 
@@ -112,7 +112,7 @@
         ),
     ) {
         let mut fixture = fixture();
-        warm(&mut fixture);
+        warm_up(&mut fixture);
         fixture.now += Duration::from_secs(20);
         let rows: Vec<_> = fixture.servers.iter().zip(&told).map(|(server, (reading, overdue, begun))| {
             let begun = Some(Duration::from_millis(*begun));
