--- a/components/policy/tests/places.rs
+++ b/components/policy/tests/places.rs
@@ -97,7 +97,7 @@
     Backlog {
         occupied: taken.to_vec(),
         since_first_token: Some(Duration::from_millis(20)),
-        ..none(server)
+        ..empty_backlog(server)
     }
 }
 
--- a/components/policy/tests/urgency.rs
+++ b/components/policy/tests/urgency.rs
@@ -30,7 +30,7 @@
             server: *server,
             overdue: overdue.clone(),
             since_first_token: begun,
-            ..none(*server)
+            ..empty_backlog(*server)
         })
         .collect();
     fixture.scheduler.set_backlogs(&told, fixture.now);
@@ -52,7 +52,7 @@
     warm_up(&mut fixture);
     let (_, bad) = send(&mut fixture, STEADY, 7);
     fixture.now += Duration::from_secs(6);
-    let told = Backlog { overdue: vec![0.0, 0.0, 5.0], ..none(bad) };
+    let told = Backlog { overdue: vec![0.0, 0.0, 5.0], ..empty_backlog(bad) };
     fixture.scheduler.set_backlogs(&[told], fixture.now);
     for _ in 0..20 {
         assert_ne!(send(&mut fixture, STEADY, 7).1, bad);
@@ -69,7 +69,8 @@
     fixture.now += Duration::from_secs(20);
     let (job, full) = send(&mut fixture, STEADY, 7);
     fixture.now += Duration::from_secs(2);
-    let told = Backlog { since_first_token: Some(Duration::from_millis(20)), ..none(full) };
+    let told =
+        Backlog { since_first_token: Some(Duration::from_millis(20)), ..empty_backlog(full) };
     fixture.scheduler.set_backlogs(&[told], fixture.now);
     fixture.scheduler.attempt_ended(job, Ending::Cancelled, fixture.now);
     let status = fixture.scheduler.status(full, fixture.now).unwrap();
@@ -87,7 +88,8 @@
     complete(&mut fixture, job, Duration::from_millis(50));
     fixture.now += Duration::from_secs(2);
     let begun = Some(Duration::from_millis(20));
-    let told = Backlog { overdue: vec![0.0, 0.0, 5.0], since_first_token: begun, ..none(home) };
+    let told =
+        Backlog { overdue: vec![0.0, 0.0, 5.0], since_first_token: begun, ..empty_backlog(home) };
     fixture.scheduler.set_backlogs(&[told], fixture.now);
     let (job, other) = send(&mut fixture, DRAFT, 7);
     assert_ne!(other, home);
@@ -116,7 +118,7 @@
         fixture.now += Duration::from_secs(20);
         let rows: Vec<_> = fixture.servers.iter().zip(&told).map(|(server, (reading, overdue, begun))| {
             let begun = Some(Duration::from_millis(*begun));
-            Backlog { prefill: reading.to_vec(), overdue: overdue.to_vec(), since_first_token: begun, ..none(*server) }
+            Backlog { prefill: reading.to_vec(), overdue: overdue.to_vec(), since_first_token: begun, ..empty_backlog(*server) }
         }).collect();
         fixture.scheduler.set_backlogs(&rows, fixture.now);
         let (job, server) = send(&mut fixture, class, 7);
