--- a/components/policy/tests/priority.rs
+++ b/components/policy/tests/priority.rs
@@ -5,7 +5,7 @@
 
 use std::time::Duration;
 
-use common::prompts::{DRAFT, ENGINES, STEADY, fixture, linked, send, serve, warm};
+use common::prompts::{DRAFT, ENGINES, STEADY, complete, enable_fetch, fixture, send, warm_up};
 use policy::{Backlog, Ending, Policy};
 use proptest::prelude::*;
 
@@ -22,7 +22,7 @@
 #[test]
 fn a_waiting_draft_keeps_no_stream_from_its_engine() {
     let mut fixture = fixture();
-    warm(&mut fixture);
+    warm_up(&mut fixture);
     let overdue = vec![0.0, 0.0, 6.0];
     let since_first_token = Some(Duration::from_millis(20));
     let engines = fixture.servers[1..].iter();
@@ -31,7 +31,7 @@
             server: *server,
             overdue: overdue.clone(),
             since_first_token,
-            ..none(*server)
+            ..empty_backlog(*server)
         })
         .collect();
     fixture.scheduler.set_backlogs(&backlogs, fixture.now);
@@ -50,10 +50,10 @@
 #[test]
 fn requests_of_every_priority_leave_a_stalled_engine() {
     let mut fixture = fixture();
-    warm(&mut fixture);
+    warm_up(&mut fixture);
     let (_, stalled) = send(&mut fixture, STEADY, 7);
     fixture.now += Duration::from_secs(6);
-    let backlog = Backlog { overdue: vec![0.0, 0.0, 5.0], ..none(stalled) };
+    let backlog = Backlog { overdue: vec![0.0, 0.0, 5.0], ..empty_backlog(stalled) };
     fixture.scheduler.set_backlogs(&[backlog], fixture.now);
     for _ in 0..20 {
         assert_ne!(send(&mut fixture, STEADY, 7).1, stalled);
@@ -66,11 +66,12 @@
 #[test]
 fn an_engine_that_serves_other_nodes_is_not_ejected() {
     let mut fixture = fixture();
-    warm(&mut fixture);
+    warm_up(&mut fixture);
     fixture.now += Duration::from_secs(20);
     let (job, full) = send(&mut fixture, STEADY, 7);
     fixture.now += Duration::from_secs(2);
-    let backlog = Backlog { since_first_token: Some(Duration::from_millis(20)), ..none(full) };
+    let backlog =
+        Backlog { since_first_token: Some(Duration::from_millis(20)), ..empty_backlog(full) };
     fixture.scheduler.set_backlogs(&[backlog], fixture.now);
     fixture.scheduler.attempt_ended(job, Ending::Cancelled, fixture.now);
     let status = fixture.scheduler.status(full, fixture.now).unwrap();
@@ -82,13 +83,14 @@
 #[test]
 fn an_engine_that_serves_other_nodes_is_a_source() {
     let mut fixture = fixture();
-    linked(&mut fixture);
-    warm(&mut fixture);
+    enable_fetch(&mut fixture);
+    warm_up(&mut fixture);
     let (job, preferred) = send(&mut fixture, DRAFT, 7);
-    serve(&mut fixture, job, Duration::from_millis(50));
+    complete(&mut fixture, job, Duration::from_millis(50));
     fixture.now += Duration::from_secs(2);
     let since_first_token = Some(Duration::from_millis(20));
-    let backlog = Backlog { overdue: vec![0.0, 0.0, 5.0], since_first_token, ..none(preferred) };
+    let backlog =
+        Backlog { overdue: vec![0.0, 0.0, 5.0], since_first_token, ..empty_backlog(preferred) };
     fixture.scheduler.set_backlogs(&[backlog], fixture.now);
     let (job, other) = send(&mut fixture, DRAFT, 7);
     assert_ne!(other, preferred);
@@ -96,7 +98,7 @@
 }
 
 /// A report that nothing waits at an engine.
-fn none(server: ids::Server) -> Backlog {
+fn empty_backlog(server: ids::Server) -> Backlog {
     Backlog { server, prefill: vec![], overdue: vec![], occupied: vec![], since_first_token: None }
 }
 
@@ -114,11 +116,11 @@
         ),
     ) {
         let mut fixture = fixture();
-        warm(&mut fixture);
+        warm_up(&mut fixture);
         fixture.now += Duration::from_secs(20);
         let backlogs: Vec<_> = fixture.servers.iter().zip(&reported).map(|(server, (prefill, overdue, since))| {
             let since_first_token = Some(Duration::from_millis(*since));
-            Backlog { prefill: prefill.to_vec(), overdue: overdue.to_vec(), since_first_token, ..none(*server) }
+            Backlog { prefill: prefill.to_vec(), overdue: overdue.to_vec(), since_first_token, ..empty_backlog(*server) }
         }).collect();
         fixture.scheduler.set_backlogs(&backlogs, fixture.now);
         let (job, server) = send(&mut fixture, class, 7);
--- a/components/policy/tests/slots.rs
+++ b/components/policy/tests/slots.rs
@@ -6,8 +6,8 @@
 use std::time::Duration;
 
 use common::Fixture;
-use common::fleet::{Count, Fleet, Load, Site, none};
-use common::prompts::{STEADY, fixture, send, warm};
+use common::fleet::{Count, Fleet, Load, Site, empty_backlog};
+use common::prompts::{STEADY, fixture, send, warm_up};
 use policy::{Backlog, Ending, Mechanism, Policy};
 use proptest::prelude::*;
 
@@ -27,7 +27,7 @@
 fn run_burst(disabled: Option<Mechanism>) -> Vec<(Count, Count)> {
     let run = |seed| {
         let mut fleet = Fleet::new(SITE, seed, disabled);
-        fleet.play(SECONDS, &LOADS);
+        fleet.run(SECONDS, &LOADS);
         let [streams, _, drafts] = fleet.counts;
         (streams, drafts)
     };
@@ -43,10 +43,10 @@
 fn a_burst_of_streams_finds_slots_while_drafts_start() {
     for (seed, (streams, drafts)) in run_burst(None).into_iter().enumerate() {
         assert!(
-            streams.given_up * REQUESTS_PER_UNANSWERED <= streams.sent,
+            streams.abandoned * REQUESTS_PER_UNANSWERED <= streams.sent,
             "seed {seed}: {streams:?}, {drafts:?}"
         );
-        assert!(drafts.begun * 2 > drafts.sent, "seed {seed}: {drafts:?}");
+        assert!(drafts.started * 2 > drafts.sent, "seed {seed}: {drafts:?}");
     }
 }
 
@@ -65,7 +65,7 @@
 fn nodes_with_the_same_reports_do_not_fill_one_engine() {
     for seed in 0..3 {
         let mut fleet = Fleet::new(LARGE, seed, None);
-        fleet.play(12, &LARGE_LOADS);
+        fleet.run(12, &LARGE_LOADS);
         let streams = fleet.counts[0];
         assert!(streams.late * STREAMS_PER_LATE <= streams.sent, "seed {seed}: {streams:?}");
     }
@@ -78,8 +78,8 @@
     let counts = run_burst(Some(Mechanism::SlotCounts));
     let streams = || counts.iter().map(|(streams, _)| streams);
     let sent: u32 = streams().map(|count| count.sent).sum();
-    let given_up: u32 = streams().map(|count| count.given_up).sum();
-    assert!(given_up * REQUESTS_PER_UNANSWERED > sent, "{given_up} of {sent}");
+    let abandoned: u32 = streams().map(|count| count.abandoned).sum();
+    assert!(abandoned * REQUESTS_PER_UNANSWERED > sent, "{abandoned} of {sent}");
 }
 
 /// Serves long answers, so that the scheduler expects a stream to occupy its slot for some seconds.
@@ -99,7 +99,7 @@
     Backlog {
         occupied: occupied.to_vec(),
         since_first_token: Some(Duration::from_millis(20)),
-        ..none(server)
+        ..empty_backlog(server)
     }
 }
 
@@ -115,7 +115,7 @@
     ) {
         prop_assume!(full.contains(&false));
         let mut fixture = fixture();
-        warm(&mut fixture);
+        warm_up(&mut fixture);
         serve_long_answers(&mut fixture);
         let engines = fixture.servers.iter().zip(&full);
         let backlogs: Vec<_> = engines
