--- a/components/policy/src/cache.rs
+++ b/components/policy/src/cache.rs
@@ -154,8 +154,9 @@
         last.into_iter().flatten().map(|entry| entry.server)
     }
 
-    /// The engines that have prefilled all parts that a request shares with others.
-    pub(crate) fn sources<'a>(
+    /// The engines that have prefilled all parts that a request shares with others, from which another one can
+    /// fetch them.
+    pub(crate) fn fetch_sources<'a>(
         &'a self,
         shared: &'a [Part],
         now: Instant,
--- a/components/policy/src/cache/tests.rs
+++ b/components/policy/src/cache/tests.rs
@@ -37,9 +37,9 @@
     index.record_send(&request, one, now);
     assert_eq!(index.cached_tokens(&request.shared, one, now), 6_400);
     assert_eq!(index.cached_tokens(&request.shared, two, now), 0);
-    assert_eq!(index.sources(&request.shared, now).count(), 0);
+    assert_eq!(index.fetch_sources(&request.shared, now).count(), 0);
     index.record_prefill(&request, one, now);
-    assert_eq!(index.sources(&request.shared, now).collect::<Vec<_>>(), [one]);
+    assert_eq!(index.fetch_sources(&request.shared, now).collect::<Vec<_>>(), [one]);
 }
 
 /// An engine may have evicted a prefix that wasn't used for a while. A request that is sent there for the prefix
@@ -52,7 +52,7 @@
     index.record_prefill(&request, one, now);
     assert_eq!(index.cached_tokens(&request.shared, one, now + RETENTION), 0);
     index.record_send(&request, one, now + RETENTION);
-    assert_eq!(index.sources(&request.shared, now + RETENTION).count(), 0);
+    assert_eq!(index.fetch_sources(&request.shared, now + RETENTION).count(), 0);
 }
 
 /// An engine that crashed and restarted under its name has an empty cache.
@@ -65,7 +65,7 @@
     }
     index.remove_server(one);
     assert_eq!(index.cached_tokens(&request.shared, one, now), 0);
-    assert_eq!(index.sources(&request.shared, now).collect::<Vec<_>>(), [two]);
+    assert_eq!(index.fetch_sources(&request.shared, now).collect::<Vec<_>>(), [two]);
 }
 
 /// However many requests of a session an engine serves, its prefix is reported once in a while, and not while
--- a/components/policy/src/engines.rs
+++ b/components/policy/src/engines.rs
@@ -1,7 +1,7 @@
 //! Selects the engine for a request, among backend servers whose prefill rates are known.
 //!
 //! Load patterns: prompts that share a long prefix, which an engine that has prefilled it once needn't
-//! prefill again; steady streams beside long prompts; one session or caller that is far above the rest.
+//! prefill again; steady streams beside long prompts; one session or caller with far more requests than the rest.
 //! Without this, recomputed prefill takes most of the engines' time.
 //!
 //! Each session has a preferred engine in its class's isolation group, by rendezvous hashing, so that all
@@ -54,7 +54,8 @@
 /// Requests that an engine serves at once without slowing down much. The time of a stream is divided
 /// among those that run beside it.
 const BATCH_SIZE: f64 = 48.0;
-/// Fraction of an engine's slots that may be occupied on average, so that a burst finds free ones.
+/// Fraction of an engine's slots that may be occupied on average, so that a burst finds free ones. It bounds
+/// [`BATCH_SIZE`] at engines with few slots.
 const MEAN_OCCUPANCY: f64 = 0.6;
 /// Weight of an engine's queued prefill in its cost before any request would be late there: prefill
 /// delays the tokens of all its streams and the requests that come next.
@@ -73,7 +74,7 @@
 pub(crate) struct Estimate {
     pub(crate) server: ids::Server,
     /// Estimated seconds of prefill for the request.
-    prefill: f64,
+    pub(crate) prefill: f64,
     /// Estimated seconds until that prefill starts.
     backlog: f64,
     /// Seconds that it must expect to wait there because other requests are overdue.
@@ -86,7 +87,8 @@
 }
 
 impl Scheduler {
-    /// Whether a request's servers include an engine whose prefill rate is known.
+    /// Whether the prefill rate of any server of a request's pool is known, so that its engine is selected by
+    /// prefill cost.
     pub(crate) fn prefill_rates_known(&self, pending: &Pending) -> bool {
         let servers = &self.pools[pending.pool].servers;
         self.disabled.lacks(Mechanism::PrefillCost)
@@ -283,7 +285,7 @@
             fetch,
         });
         state.prefill.prompt_sent(pending.priority, prefill);
-        self.send_rate.add(pending.priority, now);
+        self.send_rate.record_send(pending.priority, now);
         let tokens = f64::from(pending.tokens);
         let batch = BATCH_SIZE.min(f64::from(state.slots()) * MEAN_OCCUPANCY).max(1.0);
         let seconds = prefill + tokens * state.token_interval() / batch;
--- a/components/policy/src/isolation.rs
+++ b/components/policy/src/isolation.rs
@@ -31,10 +31,11 @@
 const PRIOR_SECONDS: [f64; GROUPS] = [0.0, 0.35, 1.65];
 /// Engine time up to which a kind of work counts as absent, in seconds.
 const ABSENT_SECONDS: f64 = 0.01;
-/// A border moves once the groups before it lack this part of an engine, or have this much too many. Moving
-/// is costly: streams that run at an engine which turns to long prompts stutter until they end, and what the
-/// engine has cached for its former group is prefilled again elsewhere.
+/// Engines, or the fraction of one, that the groups before a border must lack before it moves to give them
+/// more. Moving is costly: streams that run at an engine which turns to long prompts stutter until they end,
+/// and what the engine has cached for its former group is prefilled again elsewhere.
 const GROW_AT: f64 = 0.6;
+/// Engines that they must have in excess before the border moves back.
 const SHRINK_AT: f64 = 1.25;
 
 /// Age up to which the work of all nodes counts; after that a node goes by its own.
--- a/components/policy/src/isolation/tests.rs
+++ b/components/policy/src/isolation/tests.rs
@@ -5,7 +5,7 @@
 
 const MS: fn(u64) -> Duration = Duration::from_millis;
 
-fn engines(count: usize) -> HashMap<ids::Region, usize> {
+fn engine_counts(count: usize) -> HashMap<ids::Region, usize> {
     HashMap::from([(ids::Region::default(), count)])
 }
 
@@ -18,7 +18,7 @@
     isolation.add_work(MS(60), 10.0, now);
     isolation.add_work(MS(65), 10.0, now);
     isolation.add_work(MS(250), 20.0, now);
-    isolation.update_borders(&engines(8), now);
+    isolation.update_borders(&engine_counts(8), now);
     assert_eq!(isolation.class_group(MS(60)), Some(Group::Steady));
     assert_eq!(isolation.class_group(MS(65)), Some(Group::Steady));
     assert_eq!(isolation.class_group(MS(250)), Some(Group::Bulk));
@@ -35,7 +35,7 @@
     let mut isolation = Isolation::default();
     isolation.add_work(MS(60), 0.01, now);
     isolation.add_work(MS(250), 10.0, now);
-    isolation.update_borders(&engines(2), now);
+    isolation.update_borders(&engine_counts(2), now);
     assert_eq!(isolation.engine_group(Default::default(), 0), Group::Steady);
     assert_eq!(isolation.engine_group(Default::default(), 1), Group::Bulk);
 }
@@ -48,12 +48,12 @@
     let mut isolation = Isolation::default();
     isolation.add_work(MS(60), 50.0, now);
     isolation.add_work(MS(250), 50.0, now);
-    isolation.update_borders(&engines(8), now);
+    isolation.update_borders(&engine_counts(8), now);
     isolation.add_work(MS(250), 15.0, now);
-    isolation.update_borders(&engines(8), now);
+    isolation.update_borders(&engine_counts(8), now);
     assert_eq!(isolation.engine_group(Default::default(), 3), Group::Steady);
     isolation.add_work(MS(250), 200.0, now);
-    isolation.update_borders(&engines(8), now);
+    isolation.update_borders(&engine_counts(8), now);
     assert_eq!(isolation.engine_group(Default::default(), 3), Group::Bulk);
 }
 
@@ -66,7 +66,7 @@
     isolation.add_work(MS(70), 1.0, now);
     let now = now + Duration::from_secs(60);
     isolation.add_work(MS(60), 1.0, now);
-    isolation.update_borders(&engines(8), now);
+    isolation.update_borders(&engine_counts(8), now);
     assert_eq!(isolation.class_group(MS(60)), None);
 }
 
@@ -77,7 +77,7 @@
     let now = Instant::now();
     let mut isolation = Isolation::default();
     isolation.add_work(MS(250), 0.1, now);
-    isolation.update_borders(&engines(8), now);
+    isolation.update_borders(&engine_counts(8), now);
     assert_eq!(isolation.engine_group(Default::default(), 0), Group::Steady);
     assert_eq!(isolation.class_group(MS(250)), Some(Group::Bulk));
 }
@@ -90,10 +90,10 @@
     let mut isolation = Isolation::default();
     isolation.add_work(MS(250), 100.0, now);
     isolation.set_fleet_work([0.0, 500.0, 500.0], now);
-    isolation.update_borders(&engines(8), now);
+    isolation.update_borders(&engine_counts(8), now);
     assert_eq!(isolation.engine_group(Default::default(), 3), Group::Steady);
     let later = now + Duration::from_secs(6);
-    isolation.update_borders(&engines(8), later);
+    isolation.update_borders(&engine_counts(8), later);
     assert_eq!(isolation.engine_group(Default::default(), 3), Group::Bulk);
 }
 
@@ -109,7 +109,7 @@
         isolation.add_work(MS(111), 40.0, now);
     }
     isolation.set_fleet_work([400.0, 400.0, 800.0], now);
-    isolation.update_borders(&engines(16), now);
+    isolation.update_borders(&engine_counts(16), now);
     let groups = [28, 44, 111].map(|tolerance| isolation.class_group(MS(tolerance)).unwrap());
     assert_eq!(groups, [Group::Strict, Group::Steady, Group::Bulk]);
     for (group, count) in [(Group::Strict, 4), (Group::Steady, 4), (Group::Bulk, 8)] {
@@ -130,7 +130,7 @@
                 isolation.add_work(MS(tolerance), seconds, now);
             }
             isolation.set_fleet_work(work, now);
-            isolation.update_borders(&engines(count), now);
+            isolation.update_borders(&engine_counts(count), now);
             let group = |rank| isolation.engine_group(Default::default(), rank);
             assert!(group(0) < Group::Bulk && group(count - 1) == Group::Bulk, "{count}, {work:?}");
         }
--- a/components/policy/src/prefill.rs
+++ b/components/policy/src/prefill.rs
@@ -56,7 +56,7 @@
 }
 
 impl Wait {
-    fn add(&mut self, seconds: f64, now: Instant) {
+    fn record(&mut self, seconds: f64, now: Instant) {
         let current = self.current(now);
         *self = Wait { seconds: current + (seconds - current) * WEIGHT, observed: Some(now) };
     }
@@ -136,7 +136,7 @@
             self.base_latency.map_or(rest, |base| (base * (1.0 + BASE_LATENCY_RISE)).min(rest));
         self.base_latency = Some(base);
         let unexplained = (rest - base - queued_ahead).max(0.0);
-        self.waits[usize::from(priority).min(PRIORITIES - 1)].add(unexplained, now);
+        self.waits[usize::from(priority).min(PRIORITIES - 1)].record(unexplained, now);
         self.last_own_first_token = Some(now);
     }
 
--- a/components/policy/src/prefix.rs
+++ b/components/policy/src/prefix.rs
@@ -70,7 +70,7 @@
             |member: &&Member| self.cross_region || member.region == pending.request.region;
         let mut members = self.pools[pending.pool].members.iter().filter(in_reach);
         let known = members.any(|member| self.cached_tokens(pending, member.server, now) >= shared);
-        let sources = self.prefixes.sources(&pending.request.shared, now);
+        let sources = self.prefixes.fetch_sources(&pending.request.shared, now);
         let usable = sources.filter(|source| {
             let state = self.servers.get(*source);
             state.is_some_and(|state| {
--- a/components/policy/src/slots.rs
+++ b/components/policy/src/slots.rs
@@ -35,21 +35,21 @@
 
 impl SendRate {
     /// Counts a request sent.
-    pub(crate) fn add(&mut self, priority: u8, now: Instant) {
-        self.recent = self.recent(now);
+    pub(crate) fn record_send(&mut self, priority: u8, now: Instant) {
+        self.recent = self.decayed(now);
         self.recent.add(priority, 1.0);
         self.updated = Some(now);
     }
 
-    /// Decayed number of requests.
-    fn recent(&self, now: Instant) -> PerPriority {
+    /// Number of requests sent, each weighted by its age.
+    fn decayed(&self, now: Instant) -> PerPriority {
         let age = self.updated.map_or(0.0, |at| now.saturating_duration_since(at).as_secs_f64());
         self.recent.scaled((-age / HALF_LIFE_SECONDS).exp2())
     }
 
     /// Requests a second.
     fn per_second(&self, now: Instant) -> PerPriority {
-        self.recent(now).scaled(std::f64::consts::LN_2 / HALF_LIFE_SECONDS)
+        self.decayed(now).scaled(std::f64::consts::LN_2 / HALF_LIFE_SECONDS)
     }
 }
 
@@ -171,9 +171,9 @@
         state.occupied.sum_up_to(priority) + state.prefill.peer_occupied(priority, now)
     }
 
-    /// Seconds until a request gets a slot at an engine. Engines give a slot that comes free to the request
-    /// of the highest priority, so requests of lower priority, which occupy slots only until they end, aren't
-    /// counted.
+    /// Seconds until a request gets a slot at an engine. Engines give a slot that comes free to the request of
+    /// the highest priority. So requests of lower priority aren't counted: they delay this one only until one of
+    /// them ends.
     pub(crate) fn slot_wait(
         &self,
         pending: &Pending,
