--- a/components/policy/src/prefill.rs
+++ b/components/policy/src/prefill.rs
@@ -72,7 +72,7 @@
 #[derive(Debug, Default)]
 pub(crate) struct Estimator {
     /// Prefill of this node's prompts without a first token yet.
-    own: PerPriority,
+    own_queued: PerPriority,
     /// What other nodes reported, and when that was received.
     peers: Option<(Peers, Instant)>,
     /// When another node last received a first token.
@@ -88,17 +88,17 @@
 impl Estimator {
     /// Adds a prompt with its estimated prefill time.
     pub(crate) fn prompt_sent(&mut self, priority: u8, seconds: f64) {
-        self.own.add(priority, seconds);
+        self.own_queued.add(priority, seconds);
     }
 
     /// Removes a prompt that was sent, once it is prefilled or its attempt has ended.
     pub(crate) fn prompt_done(&mut self, priority: u8, seconds: f64) {
-        self.own.add(priority, -seconds);
+        self.own_queued.add(priority, -seconds);
     }
 
     /// Prefill of this node's prompts that is queued or runs.
     pub(crate) fn own_queued(&self) -> PerPriority {
-        self.own
+        self.own_queued
     }
 
     /// Takes in what other nodes reported.
@@ -154,7 +154,7 @@
 
     /// Prefill that is known to be queued before a prompt of a priority sent now.
     pub(crate) fn queued_ahead(&self, priority: u8, now: Instant) -> f64 {
-        self.own.sum_up_to(priority)
+        self.own_queued.sum_up_to(priority)
             + self.current_peers(now).map_or(0.0, |peers| peers.queued.sum_up_to(priority))
     }
 
--- a/components/policy/tests/priority.rs
+++ b/components/policy/tests/priority.rs
@@ -118,10 +118,20 @@
         let mut fixture = fixture();
         warm_up(&mut fixture);
         fixture.now += Duration::from_secs(20);
-        let backlogs: Vec<_> = fixture.servers.iter().zip(&reported).map(|(server, (prefill, overdue, since))| {
-            let since_first_token = Some(Duration::from_millis(*since));
-            Backlog { prefill: prefill.to_vec(), overdue: overdue.to_vec(), since_first_token, ..empty_backlog(*server) }
-        }).collect();
+        let backlogs: Vec<_> = fixture
+            .servers
+            .iter()
+            .zip(&reported)
+            .map(|(server, (prefill, overdue, since))| {
+                let since_first_token = Some(Duration::from_millis(*since));
+                Backlog {
+                    prefill: prefill.to_vec(),
+                    overdue: overdue.to_vec(),
+                    since_first_token,
+                    ..empty_backlog(*server)
+                }
+            })
+            .collect();
         fixture.scheduler.set_backlogs(&backlogs, fixture.now);
         let (job, server) = send(&mut fixture, class, 7);
         let expected = fixture.scheduler.expected(job).unwrap();
