--- a/components/policy/src/prefix.rs
+++ b/components/policy/src/prefix.rs
@@ -20,9 +20,6 @@
 const DUPLICATION_FRACTION: f64 = 0.25;
 /// Least cost of one more copy, in seconds.
 const MIN_DUPLICATION_SECONDS: f64 = 0.1;
-/// Position of a token at which its attention to the tokens before it takes an engine as long as all other
-/// work for it: 30,000 to 60,000 at the users' engines.
-const ATTENTION_TOKENS: f64 = 40_000.0;
 
 /// Where the prefix of a prompt is cached.
 #[derive(Clone, Copy, Debug)]
@@ -50,6 +47,10 @@
     pub(crate) fetch: Option<ids::Server>,
 }
 
+/// Position of a token at which its attention to the tokens before it takes an engine as long as all other
+/// work for it: 30,000 to 60,000 at the users' engines.
+const ATTENTION_TOKENS: f64 = 40_000.0;
+
 /// Seconds in which an engine prefills a prompt from one token to another, at `rate` tokens a second
 /// plus attention to the tokens before.
 fn prefill_seconds(from: u32, to: u32, rate: f64) -> f64 {
