--- a/components/policy/src/limit.rs
+++ b/components/policy/src/limit.rs
@@ -1,65 +1,67 @@
-//! How many requests a backend server is given at once, from the token intervals it shows.
+//! Adapts the number of requests that a backend server runs at once to its token intervals.
 //!
-//! Pattern: a backend server that slows as its batch fills, or that others load as well. Without a
-//! limit that follows, every stream on it misses the token interval of its class.
+//! Load pattern: a backend server that slows down as its batch fills, or that other callers load as well.
+//! Without an adaptive limit, every stream on it misses the token interval of its class.
 //!
-//! Additive increase and multiplicative decrease: the way that converges when several nodes adapt
-//! at once without talking.
+//! The limit follows additive increase and multiplicative decrease, which converges when several nodes adapt
+//! at once without communicating.
 
 use std::time::{Duration, Instant};
 
-/// At most one change in this time: two load reports, so that a change shows before the next one.
-const HOLD: Duration = Duration::from_secs(1);
-/// An interval this much above the target lowers the limit; below it, the noise of batches rules.
-const ABOVE: f64 = 1.1;
-/// An interval below this part of the target lets the limit grow.
-const BELOW: f64 = 0.9;
-/// Decrease by a tenth: ten seconds from full to a third, faster than any class's deadline.
+/// Least time between two changes: two load reports, so that the effect of one shows before the next.
+const CHANGE_INTERVAL: Duration = Duration::from_secs(1);
+/// Token intervals above this multiple of the target lower the limit; smaller excesses are batching noise.
+const DECREASE_ABOVE: f64 = 1.1;
+/// Token intervals below this multiple of the target raise the limit.
+const INCREASE_BELOW: f64 = 0.9;
+/// Factor of one decrease: the limit falls from all slots to a third in ten seconds, sooner than the deadline
+/// of any class.
 const DECREASE: f64 = 0.9;
-/// Never below this part of the places, so that a server which recovers is noticed.
-const FLOOR: f64 = 0.25;
-/// The limit falls only while intervals are this much above the lowest that the server showed: one
-/// that is slow by itself isn't mended by less work, and loses what it could still do.
-const LOADED: f64 = 1.7;
-/// The lowest interval is let rise by this part with each look, to follow a model that changes.
-const RISE: f64 = 0.001;
+/// Least fraction of the slots in use, so that a server's recovery is noticed.
+const MIN_FRACTION: f64 = 0.25;
+/// The limit falls only while token intervals are above this multiple of the server's lowest one: a server
+/// that is slow by itself gets no faster with less work, and would only serve fewer streams.
+const UNDER_LOAD: f64 = 1.7;
+/// Relative rise of the lowest token interval with each observation, to follow a server whose model changes.
+const LOWEST_RISE: f64 = 0.001;
 
-/// The part of a backend server's places that is in use, between [`FLOOR`] and 1.
+/// The fraction of a backend server's slots that is in use, from [`MIN_FRACTION`] to 1.
 #[derive(Debug)]
 pub(crate) struct Limit {
-    part: f64,
-    lowest: f64,
-    changed: Option<Instant>,
+    fraction: f64,
+    /// Lowest token interval, in seconds.
+    lowest_interval: f64,
+    last_change: Option<Instant>,
 }
 
 impl Default for Limit {
     fn default() -> Self {
-        Limit { part: 1.0, lowest: f64::INFINITY, changed: None }
+        Limit { fraction: 1.0, lowest_interval: f64::INFINITY, last_change: None }
     }
 }
 
 impl Limit {
-    /// Takes in a token interval, given the target, and the server's places.
+    /// Adapts the limit to a token interval and its target, both in seconds, at a server with so many slots.
     pub(crate) fn observe(&mut self, interval: f64, target: f64, slots: u32, now: Instant) {
-        if self.changed.is_some_and(|at| now.saturating_duration_since(at) < HOLD) {
+        if self.last_change.is_some_and(|at| now.saturating_duration_since(at) < CHANGE_INTERVAL) {
             return;
         }
-        self.lowest = (self.lowest * (1.0 + RISE)).min(interval);
-        if interval > target * ABOVE && interval > self.lowest * LOADED {
-            self.part = (self.part * DECREASE).max(FLOOR);
-            self.changed = Some(now);
-        } else if interval < target * BELOW && self.part < 1.0 {
-            self.part = (self.part + 1.0 / f64::from(slots.max(1))).min(1.0);
-            self.changed = Some(now);
+        self.lowest_interval = (self.lowest_interval * (1.0 + LOWEST_RISE)).min(interval);
+        if interval > target * DECREASE_ABOVE && interval > self.lowest_interval * UNDER_LOAD {
+            self.fraction = (self.fraction * DECREASE).max(MIN_FRACTION);
+            self.last_change = Some(now);
+        } else if interval < target * INCREASE_BELOW && self.fraction < 1.0 {
+            self.fraction = (self.fraction + 1.0 / f64::from(slots.max(1))).min(1.0);
+            self.last_change = Some(now);
         }
     }
 
-    /// Of so many places, those in use; at least one.
-    pub(crate) fn usable_slots(&self, places: u32) -> u32 {
-        if places == 0 {
+    /// The number of usable slots out of so many; at least one unless there are none.
+    pub(crate) fn usable_slots(&self, slots: u32) -> u32 {
+        if slots == 0 {
             return 0;
         }
-        ((f64::from(places) * self.part).round() as u32).max(1)
+        ((f64::from(slots) * self.fraction).round() as u32).max(1)
     }
 }
 
--- a/components/policy/src/limit/tests.rs
+++ b/components/policy/src/limit/tests.rs
@@ -3,29 +3,30 @@
 const SLOTS: u32 = 64;
 const TARGET: f64 = 0.050;
 
-/// Two minutes of an engine whose steps grow with the batch, always given all that the limit lets.
-fn settle(slow: f64) -> u32 {
+/// The limit after two minutes at an engine whose token interval grows with its batch, and which always runs
+/// as many requests as the limit allows.
+fn settled_limit(slowdown: f64) -> u32 {
     let (start, mut limit) = (Instant::now(), Limit::default());
     for tenth in 0..1_200 {
-        let ramp = (tenth + 1).min(limit.usable_slots(SLOTS));
-        let interval = 0.020 * slow * (1.0 + f64::from(ramp) / 16.0);
+        let batch = (tenth + 1).min(limit.usable_slots(SLOTS));
+        let interval = 0.020 * slowdown * (1.0 + f64::from(batch) / 16.0);
         limit.observe(interval, TARGET, SLOTS, start + Duration::from_millis(100) * tenth);
     }
     limit.usable_slots(SLOTS)
 }
 
-/// The settings give an engine more places than its batch can serve in time. All its streams crawl,
-/// though it looks far from full.
+/// Guards against slow streams at an engine whose configured slots exceed the batch that it can serve in time:
+/// with free slots, it looks far from full.
 #[test]
-fn can_find_the_batch_that_keeps_the_target() {
-    let places = settle(1.0);
-    assert!((20..=28).contains(&places), "the target is met by 24 places, the limit is {places}");
+fn the_limit_settles_at_the_batch_that_meets_the_target() {
+    let slots = settled_limit(1.0);
+    assert!((20..=28).contains(&slots), "the target is met by 24 slots, the limit is {slots}");
 }
 
-/// An engine that is slow whatever it is given, such as one on a throttled accelerator. Were it
-/// given less, its streams would be as slow, and fewer.
+/// Guards against lowering the limit of an engine that is slow at any load, such as one on a throttled
+/// accelerator: its streams would be as slow, and fewer.
 #[test]
-fn can_leave_a_server_its_places_that_less_work_would_not_mend() {
+fn a_server_that_is_slow_at_any_load_keeps_its_slots() {
     let (start, mut limit) = (Instant::now(), Limit::default());
     for second in 0..60 {
         limit.observe(0.3, TARGET, 8, start + Duration::from_secs(second));
--- a/components/policy/src/quarantine.rs
+++ b/components/policy/src/quarantine.rs
@@ -1,47 +1,47 @@
-//! Which requests are held back because servers crash when they run them.
+//! Blocks requests that crash the servers which run them.
 //!
 //! Load pattern: one request crashes each server that runs it, and its caller sends it again and again,
-//! through any node. Failure detection by server can't stop it, since each server is sound until it runs
-//! the request: every try ends one more, and cuts all answers that were under way there.
+//! through any node. Failure detection by server can't stop it, since each server is healthy until it runs
+//! the request: every attempt crashes one more, and cuts off all answers in progress there.
 //!
-//! Evidence is kept by what a request asks, not by its tries. A request is held back after crashes at three
-//! different moments; servers that crash together may have a cause in common, so they count once. A whole answer
-//! proves that a request is sound, and voids the evidence before it. A request that is held back for its time
-//! gets one more try, and a crash then holds it back for longer.
+//! Crashes are counted by the content of a request, not by attempt. A request is blocked after crashes at
+//! three distinct times; servers that crash together may have a cause in common, so they count once. A
+//! complete answer proves that a request is harmless, and voids the crashes before it. When its block ends, a
+//! request gets one trial attempt, and a crash then blocks it for longer.
 
 use std::collections::HashMap;
 use std::collections::hash_map::Entry;
 use std::time::{Duration, Instant};
 
-/// Crashes that hold a request back.
-const CRASHES: usize = 3;
+/// Distinct crashes from which on a request is blocked.
+const BLOCK_THRESHOLD: usize = 3;
 /// Servers that crash within this time of each other count as one crash, if the request was at all of them.
-const MOMENT: Duration = Duration::from_millis(100);
-/// Time since its last crash for which a request is held back at least; up to twice as long at some nodes,
-/// so that not all of them try it again together.
-const HOLD: Duration = Duration::from_secs(120);
-/// Times by which each further crash lengthens it.
-const LONGER: u32 = 4;
-/// Longest time for which a request is held back, before it is drawn.
-const LONGEST: Duration = Duration::from_secs(3_600);
-/// Time for which evidence is kept, since the last crash or the end of the hold.
-const KEPT: Duration = Duration::from_secs(600);
-/// Time for which others of the same content wait for the one that is tried again.
-const TRIAL: Duration = Duration::from_secs(30);
-/// Time between two looks for evidence that is too old.
-const SWEEP: Duration = Duration::from_secs(10);
-/// Requests that are suspected at most.
-const SUSPECTS: usize = 2_048;
-/// Crashes that are remembered of one request.
-const REMEMBERED: usize = 8;
-/// Suspects that are passed on at once.
-const PAGE: usize = 128;
+const COMMON_CAUSE_WINDOW: Duration = Duration::from_millis(100);
+/// Least time since its last crash for which a request is blocked. Each node draws a factor from 1 to 2, so
+/// that not all of them try the request again at once.
+const MIN_BLOCK: Duration = Duration::from_secs(120);
+/// Factor by which each further crash lengthens the block.
+const BLOCK_GROWTH: u32 = 4;
+/// Longest block, before the random factor is applied.
+const MAX_BLOCK: Duration = Duration::from_secs(3_600);
+/// Time for which evidence is kept after the last crash or the end of the block.
+const RETENTION: Duration = Duration::from_secs(600);
+/// Time for which other requests of the same content are blocked by a trial attempt that hasn't ended.
+const TRIAL_TIMEOUT: Duration = Duration::from_secs(30);
+/// Time between two removals of old evidence.
+const SWEEP_INTERVAL: Duration = Duration::from_secs(10);
+/// Requests for which evidence is kept at once.
+const MAX_SUSPECTS: usize = 2_048;
+/// Crashes that are kept for one request.
+const MAX_CRASHES: usize = 8;
+/// Suspects in one message to another node.
+const PAGE_SIZE: usize = 128;
 
 derives::data! {
     /// A server crashed while it ran a request.
     #[derive(Copy, Eq)]
     pub struct Crash {
-        /// Key of this start of the server, the same at all nodes.
+        /// Key of the server process; another one after each restart, and the same on all nodes.
         pub instance: u32,
         /// When the request was sent to it.
         pub sent: Instant,
@@ -49,82 +49,82 @@
         pub at: Instant,
     }
 
-    /// What is known against a request, and for it.
+    /// The crashes that a request may have caused, and the complete answer that speaks against that.
     #[derive(Eq)]
     pub struct Evidence {
-        /// Hash of what it asks.
+        /// Hash of its content.
         pub content: u64,
-        /// Servers that crashed while they ran it.
+        /// Crashes of servers that were running it.
         pub crashes: Vec<Crash>,
-        /// When it last got a whole answer.
+        /// When it last got a complete answer.
         pub completed: Option<Instant>,
     }
 }
 
 impl Crash {
-    /// Whether it can't have a cause outside the request in common with an earlier one: it came later, or the
-    /// request was only sent after that.
-    fn follows(&self, earlier: &Crash) -> bool {
-        self.at > earlier.at + MOMENT || self.sent > earlier.at
+    /// Whether it has no cause outside the request in common with an earlier crash: it came clearly later, or
+    /// the request was only sent after the earlier one.
+    fn is_distinct_from(&self, earlier: &Crash) -> bool {
+        self.at > earlier.at + COMMON_CAUSE_WINDOW || self.sent > earlier.at
     }
 }
 
-/// A request that servers crashed under.
+/// A request that was running on servers when they crashed.
 #[derive(Debug, Default)]
 struct Suspect {
-    /// In order of time.
+    /// The latest ones, ordered by time.
     crashes: Vec<Crash>,
     completed: Option<Instant>,
-    /// When it was last let through after its hold.
-    tried: Option<Instant>,
-    /// Version of the table at which it last changed.
+    /// When its last trial attempt after a block began; none once it completed.
+    trial_started: Option<Instant>,
+    /// Version of the table at its last change.
     version: u64,
 }
 
 impl Suspect {
-    /// Crashes that count, and when the last was.
-    fn strikes(&self) -> (usize, Option<Instant>) {
-        let counts = |crash: &&Crash| Some(crash.at) > self.completed;
-        let (mut strikes, mut counted): (usize, Option<&Crash>) = (0, None);
-        for crash in self.crashes.iter().filter(counts) {
-            if counted.is_none_or(|last| crash.follows(last)) {
-                strikes += 1;
-                counted = Some(crash);
+    /// The number of distinct crashes since the last complete answer, and the time of the last crash.
+    fn distinct_crashes(&self) -> (usize, Option<Instant>) {
+        let not_voided = |crash: &&Crash| Some(crash.at) > self.completed;
+        let (mut count, mut last_counted): (usize, Option<&Crash>) = (0, None);
+        for crash in self.crashes.iter().filter(not_voided) {
+            if last_counted.is_none_or(|last| crash.is_distinct_from(last)) {
+                count += 1;
+                last_counted = Some(crash);
             }
         }
-        let last = self.crashes.iter().rfind(counts).map(|crash| crash.at);
-        (strikes, last)
+        let last = self.crashes.iter().rfind(not_voided).map(|crash| crash.at);
+        (count, last)
     }
 
-    /// Until when it is held back, for a node that draws a number from 0 to 1.
-    fn until(&self, draw: f64) -> Option<Instant> {
-        let (strikes, last) = self.strikes();
-        let further = strikes.checked_sub(CRASHES)? as u32;
-        let hold = HOLD.saturating_mul(LONGER.saturating_pow(further)).min(LONGEST);
-        Some(last? + hold.mul_f64(1.0 + draw))
+    /// The end of its block; none if it isn't blocked. `random` is the node's number from 0 to 1 for it.
+    fn blocked_until(&self, random: f64) -> Option<Instant> {
+        let (count, last) = self.distinct_crashes();
+        let further = count.checked_sub(BLOCK_THRESHOLD)? as u32;
+        let block = MIN_BLOCK.saturating_mul(BLOCK_GROWTH.saturating_pow(further)).min(MAX_BLOCK);
+        Some(last? + block.mul_f64(1.0 + random))
     }
 
-    /// Until when it is remembered.
-    fn kept(&self, draw: f64) -> Option<Instant> {
+    /// When its evidence may be removed.
+    fn retained_until(&self, random: f64) -> Option<Instant> {
         let last = self.crashes.last()?.at;
-        Some(self.until(draw).unwrap_or(last).max(last) + KEPT)
+        Some(self.blocked_until(random).unwrap_or(last).max(last) + RETENTION)
     }
 
     /// Adds a crash; returns whether it was new.
-    fn add(&mut self, crash: Crash) -> bool {
+    fn add_crash(&mut self, crash: Crash) -> bool {
         if self.crashes.iter().any(|known| known.instance == crash.instance) {
             return false;
         }
-        let place = self.crashes.partition_point(|known| known.at <= crash.at);
-        self.crashes.insert(place, crash);
-        if self.crashes.len() > REMEMBERED {
+        let position = self.crashes.partition_point(|known| known.at <= crash.at);
+        self.crashes.insert(position, crash);
+        if self.crashes.len() > MAX_CRASHES {
             self.crashes.remove(0);
         }
         true
     }
 
-    /// Notes a whole answer; returns whether it voids evidence.
-    fn complete(&mut self, at: Instant) -> bool {
+    /// Records a complete answer; returns whether it voids a crash that counted until now.
+    fn record_completion(&mut self, at: Instant) -> bool {
         let before = self.completed;
         self.completed = before.max(Some(at));
         let voided = |crash: &Crash| crash.at <= at && Some(crash.at) > before;
@@ -132,27 +132,27 @@
     }
 }
 
-/// Requests that servers crashed under, by what they ask.
+/// The requests that may crash servers, by the hash of their content.
 #[derive(Debug)]
 pub struct Quarantine {
     suspects: HashMap<u64, Suspect>,
     version: u64,
     seed: u64,
-    swept: Option<Instant>,
+    last_sweep: Option<Instant>,
 }
 
 impl Quarantine {
-    /// Nothing is suspected yet. Nodes with different seeds end their holds at different times.
+    /// An empty table. Nodes with different seeds end their blocks at different times.
     ///
     /// ```
     /// let quarantine = policy::Quarantine::new(7);
     /// assert_eq!(quarantine.blocked_for(1, std::time::Instant::now()), None);
     /// ```
     pub fn new(seed: u64) -> Self {
-        Quarantine { suspects: HashMap::new(), version: 0, seed, swept: None }
+        Quarantine { suspects: HashMap::new(), version: 0, seed, last_sweep: None }
     }
 
-    /// Takes in that a server crashed while it ran a request.
+    /// Records that a server crashed while it ran a request.
     ///
     /// ```
     /// use std::time::{Duration, Instant};
@@ -171,36 +171,36 @@
         self.merge(Evidence { content, crashes: vec![crash], completed: None }, now);
     }
 
-    /// Takes in that a request got a whole answer, be it good or bad: its server outlived it.
+    /// Records that a request got a complete answer, be it a success or an error: its server survived it.
     ///
     /// ```
     /// let mut quarantine = policy::Quarantine::new(7);
     /// quarantine.record_completion(1, std::time::Instant::now());
-    /// assert_eq!(quarantine.version(), 0, "nothing was suspected");
+    /// assert_eq!(quarantine.version(), 0, "it had no crashes");
     /// ```
     pub fn record_completion(&mut self, content: u64, now: Instant) {
         let Some(suspect) = self.suspects.get_mut(&content) else { return };
-        suspect.tried = None;
-        if suspect.complete(now) {
+        suspect.trial_started = None;
+        if suspect.record_completion(now) {
             self.version += 1;
             suspect.version = self.version;
         }
     }
 
-    /// How long a request is held back from now; none if it isn't.
+    /// The time for which a request is still blocked; none if it isn't.
     pub fn blocked_for(&self, content: u64, now: Instant) -> Option<Duration> {
         let suspect = self.suspects.get(&content)?;
-        let until = suspect.until(self.draw(content))?;
-        let trial = suspect.tried.map(|tried| tried + TRIAL);
+        let until = suspect.blocked_until(self.random(content))?;
+        let trial = suspect.trial_started.map(|started| started + TRIAL_TIMEOUT);
         let until = until.max(trial.unwrap_or(until));
         until.checked_duration_since(now).filter(|left| !left.is_zero())
     }
 
-    /// Lets a request go to a server. One whose hold has ended goes alone: others with the same content are
-    /// held back until it has ended.
+    /// Asks to send a request to a server. After a block, this starts a trial attempt: other requests with
+    /// the same content are blocked until it has completed, or for 30 s.
     ///
     /// # Errors
-    /// How long it is held back, if it is.
+    /// The time for which the request is still blocked.
     ///
     /// ```
     /// let mut quarantine = policy::Quarantine::new(7);
@@ -211,14 +211,14 @@
             return Err(left);
         }
         if let Some(suspect) = self.suspects.get_mut(&content)
-            && suspect.strikes().0 >= CRASHES
+            && suspect.distinct_crashes().0 >= BLOCK_THRESHOLD
         {
-            suspect.tried = Some(now);
+            suspect.trial_started = Some(now);
         }
         Ok(())
     }
 
-    /// Number of requests that are held back.
+    /// Number of requests that are blocked.
     ///
     /// ```
     /// assert_eq!(policy::Quarantine::new(7).blocked_count(std::time::Instant::now()), 0);
@@ -227,26 +227,27 @@
         self.suspects.keys().filter(|content| self.blocked_for(**content, now).is_some()).count()
     }
 
-    /// Position up to which [`Quarantine::changes_since`] tells.
+    /// Version of the latest change, for [`Quarantine::changes_since`].
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// Evidence that changed after a version, the oldest change first, and the position that it leads to. What
-    /// doesn't fit into one message follows in the next. Requests with fewer crashes than `least` are left out.
+    /// One page of the evidence that changed after a version, the oldest change first, and the version up to
+    /// which it goes; pass that one to get the next page. Requests with fewer than `min_crashes` crashes are
+    /// left out.
     ///
     /// ```
     /// let quarantine = policy::Quarantine::new(7);
     /// assert_eq!(quarantine.changes_since(0, 1), (vec![], 0));
     /// ```
-    pub fn changes_since(&self, version: u64, least: usize) -> (Vec<Evidence>, u64) {
+    pub fn changes_since(&self, version: u64, min_crashes: usize) -> (Vec<Evidence>, u64) {
         if version >= self.version {
             return (vec![], self.version);
         }
         let changed = self.suspects.iter().filter(|(_, suspect)| suspect.version > version);
-        let mut changed: Vec<_> = changed.filter(|(_, s)| s.crashes.len() >= least).collect();
+        let mut changed: Vec<_> = changed.filter(|(_, s)| s.crashes.len() >= min_crashes).collect();
         changed.sort_by_key(|(_, suspect)| suspect.version);
-        let page = &changed[..changed.len().min(PAGE)];
+        let page = &changed[..changed.len().min(PAGE_SIZE)];
         let all = page.len() == changed.len();
         let last = page.last().map_or(self.version, |(_, suspect)| suspect.version);
         let evidence = |(content, suspect): &(&u64, &Suspect)| Evidence {
@@ -257,7 +258,7 @@
         (page.iter().map(evidence).collect(), if all { self.version } else { last })
     }
 
-    /// Takes in what another node knows.
+    /// Merges evidence that another node has.
     ///
     /// ```
     /// use std::time::Instant;
@@ -272,7 +273,7 @@
     /// ```
     pub fn merge(&mut self, evidence: Evidence, now: Instant) {
         let Evidence { content, crashes, completed } = evidence;
-        let recent = crashes.iter().filter(|crash| now < crash.at + HOLD + KEPT);
+        let recent = crashes.iter().filter(|crash| now < crash.at + MIN_BLOCK + RETENTION);
         let recent: Vec<_> = recent.copied().collect();
         if recent.is_empty() && !self.suspects.contains_key(&content) {
             return;
@@ -284,41 +285,42 @@
         };
         let mut changed = false;
         for crash in recent {
-            changed |= suspect.add(crash);
+            changed |= suspect.add_crash(crash);
         }
-        changed |= completed.is_some_and(|at| suspect.complete(at));
+        changed |= completed.is_some_and(|at| suspect.record_completion(at));
         if changed {
             self.version += 1;
             suspect.version = self.version;
         }
     }
 
-    /// Forgets what is too old, and the weakest suspicion if there are too many.
+    /// Makes room for a request: removes old evidence and, if the table is still full, the suspect with the
+    /// fewest distinct crashes, the oldest of several.
     fn make_room(&mut self, content: u64, now: Instant) {
-        let full = self.suspects.len() >= SUSPECTS && !self.suspects.contains_key(&content);
-        if full || self.swept.is_none_or(|swept| now >= swept + SWEEP) {
-            self.swept = Some(now);
+        let full = self.suspects.len() >= MAX_SUSPECTS && !self.suspects.contains_key(&content);
+        if full || self.last_sweep.is_none_or(|last| now >= last + SWEEP_INTERVAL) {
+            self.last_sweep = Some(now);
             let seed = self.seed;
             self.suspects.retain(|content, suspect| {
-                suspect.kept(draw(seed, *content)).is_some_and(|kept| now < kept)
+                suspect.retained_until(random(seed, *content)).is_some_and(|end| now < end)
             });
         }
-        if !full || self.suspects.len() < SUSPECTS {
+        if !full || self.suspects.len() < MAX_SUSPECTS {
             return;
         }
-        let weakest = self.suspects.iter().min_by_key(|(_, suspect)| suspect.strikes());
+        let weakest = self.suspects.iter().min_by_key(|(_, suspect)| suspect.distinct_crashes());
         if let Some(content) = weakest.map(|(content, _)| *content) {
             self.suspects.remove(&content);
         }
     }
 
-    fn draw(&self, content: u64) -> f64 {
-        draw(self.seed, content)
+    fn random(&self, content: u64) -> f64 {
+        random(self.seed, content)
     }
 }
 
-/// A number from 0 to 1 that a node draws for a request.
-fn draw(seed: u64, content: u64) -> f64 {
+/// The number from 0 to 1 of a node for a request, by hashing.
+fn random(seed: u64, content: u64) -> f64 {
     crate::pick::mix64(seed ^ content) as f64 / u64::MAX as f64
 }
 
--- a/components/policy/src/quarantine/tests.rs
+++ b/components/policy/src/quarantine/tests.rs
@@ -1,17 +1,19 @@
 use std::time::{Duration, Instant};
 
-use super::{Crash, HOLD, KEPT, MOMENT, Quarantine, SUSPECTS, TRIAL};
+use super::{
+    COMMON_CAUSE_WINDOW, Crash, MAX_SUSPECTS, MIN_BLOCK, Quarantine, RETENTION, TRIAL_TIMEOUT,
+};
 
 const CONTENT: u64 = 7;
 const SECOND: Duration = Duration::from_secs(1);
 
-/// A crash at a time, of a server that the request had been at for a while.
+/// A crash at a time, of a server to which the request was sent a second before.
 fn crash(server: u32, at: Instant) -> Crash {
     Crash { instance: server, sent: at - SECOND, at }
 }
 
-/// A request under which so many servers crashed, a second after each other, and the time of the last.
-fn suspected(crashes: u32) -> (Quarantine, Instant) {
+/// A quarantine after a request crashed so many servers, one a second, and the time of the last crash.
+fn after_crashes(crashes: u32) -> (Quarantine, Instant) {
     let (mut quarantine, mut now) = (Quarantine::new(1), Instant::now());
     for server in 0..crashes {
         now += SECOND;
@@ -20,37 +22,38 @@
     (quarantine, now)
 }
 
-/// Guards against a request that is sent on at once after each crash counting as one crash.
+/// Guards against the crashes of a request that is retried at once, within the window of a common cause,
+/// counting as a single one.
 #[test]
-fn crashes_of_one_that_was_sent_on_count_each() {
+fn crashes_of_immediate_retries_count_separately() {
     let (mut quarantine, start) = (Quarantine::new(1), Instant::now());
     for server in 0..3 {
-        let sent = start + MOMENT * server / 3;
-        let at = sent + MOMENT / 4;
+        let sent = start + COMMON_CAUSE_WINDOW * server / 3;
+        let at = sent + COMMON_CAUSE_WINDOW / 4;
         quarantine.record_crash(CONTENT, Crash { instance: server, sent, at }, at);
     }
     assert!(quarantine.blocked_for(CONTENT, start + SECOND).is_some());
 }
 
-/// Guards against a request that is held back for nothing.
+/// Guards against blocking a harmless request that was running on two servers when they crashed.
 #[test]
-fn two_crashes_hold_nothing_back() {
-    let (quarantine, now) = suspected(2);
+fn two_crashes_block_nothing() {
+    let (quarantine, now) = after_crashes(2);
     assert_eq!(quarantine.blocked_for(CONTENT, now), None);
 }
 
 #[test]
-fn a_third_crash_holds_a_request_back_and_no_other() {
-    let (quarantine, now) = suspected(3);
-    assert!(quarantine.blocked_for(CONTENT, now) >= Some(HOLD));
+fn a_third_crash_blocks_its_request_and_no_other() {
+    let (quarantine, now) = after_crashes(3);
+    assert!(quarantine.blocked_for(CONTENT, now) >= Some(MIN_BLOCK));
     assert_eq!(quarantine.blocked_for(CONTENT + 1, now), None);
     assert_eq!(quarantine.blocked_count(now), 1);
 }
 
-/// Guards against one crash that is reported by several nodes counting several times.
+/// Guards against one crash counting several times because several nodes report it.
 #[test]
-fn a_crash_counts_once() {
-    let (mut quarantine, now) = suspected(1);
+fn a_crash_reported_again_counts_once() {
+    let (mut quarantine, now) = after_crashes(1);
     for millis in [0, 500, 2_000] {
         let at = now + Duration::from_millis(millis);
         quarantine.record_crash(CONTENT, crash(0, at), at);
@@ -58,32 +61,32 @@
     assert_eq!(quarantine.blocked_for(CONTENT, now + SECOND * 3), None);
 }
 
-/// Guards against a loss of many servers at once bringing what ran on them under suspicion.
+/// Guards against blocking the requests that were running on many servers lost at once.
 #[test]
 fn servers_that_crash_together_count_as_one_crash() {
     let (mut quarantine, start) = (Quarantine::new(1), Instant::now());
     for server in 0..200 {
-        let at = start + MOMENT * (server % 5) / 5;
+        let at = start + COMMON_CAUSE_WINDOW * (server % 5) / 5;
         quarantine.record_crash(CONTENT, crash(server, at), at);
     }
     assert_eq!(quarantine.blocked_for(CONTENT, start + SECOND), None);
 }
 
-/// Guards against crashes in a row, each soon after the last, counting as one.
+/// Guards against a series of crashes counting as one because each comes soon after the last.
 #[test]
-fn crashes_in_quick_succession_count_each() {
+fn crashes_in_quick_succession_count_separately() {
     let (mut quarantine, start) = (Quarantine::new(1), Instant::now());
     for server in 0..5 {
-        let at = start + MOMENT * server * 3 / 4;
+        let at = start + COMMON_CAUSE_WINDOW * server * 3 / 4;
         quarantine.record_crash(CONTENT, crash(server, at), at);
     }
     assert!(quarantine.blocked_for(CONTENT, start + SECOND).is_some());
 }
 
-/// Guards against a request that servers do answer being held back for crashes that it didn't cause.
+/// Guards against blocking a request that servers do answer, for crashes that it didn't cause.
 #[test]
-fn a_whole_answer_voids_what_came_before() {
-    let (mut quarantine, now) = suspected(3);
+fn a_complete_answer_voids_earlier_crashes() {
+    let (mut quarantine, now) = after_crashes(3);
     quarantine.record_completion(CONTENT, now);
     assert_eq!(quarantine.blocked_for(CONTENT, now), None);
     for server in 10..12 {
@@ -93,62 +96,67 @@
     assert_eq!(quarantine.blocked_for(CONTENT, now + SECOND * 12), None);
 }
 
-/// Guards against a request that is never tried again, and against a rush of tries when its hold ends.
+/// Guards against a request that is never tried again, and against many attempts at once when its block ends.
 #[test]
-fn one_try_follows_a_hold() {
-    let (mut quarantine, now) = suspected(3);
-    let left = quarantine.blocked_for(CONTENT, now).expect("it is held back");
+fn one_trial_follows_a_block() {
+    let (mut quarantine, now) = after_crashes(3);
+    let left = quarantine.blocked_for(CONTENT, now).expect("it is blocked");
     let after = now + left;
     assert_eq!(quarantine.begin_attempt(CONTENT, after), Ok(()));
-    assert_eq!(quarantine.begin_attempt(CONTENT, after), Err(TRIAL), "others wait for it");
+    assert_eq!(
+        quarantine.begin_attempt(CONTENT, after),
+        Err(TRIAL_TIMEOUT),
+        "others wait for the trial"
+    );
     quarantine.record_completion(CONTENT, after + SECOND);
     assert_eq!(quarantine.begin_attempt(CONTENT, after + SECOND), Ok(()));
 }
 
 #[test]
-fn a_crash_after_a_hold_makes_the_next_longer() {
-    let (mut quarantine, now) = suspected(3);
-    let after = now + quarantine.blocked_for(CONTENT, now).expect("it is held back");
+fn a_crash_of_the_trial_lengthens_the_next_block() {
+    let (mut quarantine, now) = after_crashes(3);
+    let after = now + quarantine.blocked_for(CONTENT, now).expect("it is blocked");
     assert_eq!(quarantine.begin_attempt(CONTENT, after), Ok(()));
     quarantine.record_crash(CONTENT, crash(9, after), after);
-    assert!(quarantine.blocked_for(CONTENT, after) >= Some(HOLD * 4));
+    assert!(quarantine.blocked_for(CONTENT, after) >= Some(MIN_BLOCK * 4));
 }
 
-/// Guards against all nodes trying a request again together.
+/// Guards against all nodes trying a request again at once.
 #[test]
-fn nodes_end_their_holds_at_different_times() {
-    let (known, now) = suspected(3);
-    let (evidence, _) = known.changes_since(0, 1);
+fn nodes_end_their_blocks_at_different_times() {
+    let (source, now) = after_crashes(3);
+    let (evidence, _) = source.changes_since(0, 1);
     let mut ends: Vec<_> = (0..50)
         .map(|seed| {
             let mut quarantine = Quarantine::new(seed);
             quarantine.merge(evidence[0].clone(), now);
-            quarantine.blocked_for(CONTENT, now).expect("it is held back")
+            quarantine.blocked_for(CONTENT, now).expect("it is blocked")
         })
         .collect();
     ends.sort();
-    assert!(ends[0] >= HOLD && ends[49] <= HOLD * 2);
-    assert!(ends[49] - ends[0] > HOLD / 2, "{ends:?}");
+    assert!(ends[0] >= MIN_BLOCK && ends[49] <= MIN_BLOCK * 2);
+    assert!(ends[49] - ends[0] > MIN_BLOCK / 2, "{ends:?}");
 }
 
-/// Guards against suspicions that last for ever, and crashes of long ago counting with new ones.
+/// Guards against evidence that is kept for ever, and against old crashes counting together with new ones.
 #[test]
-fn old_evidence_is_forgotten() {
-    let (mut quarantine, now) = suspected(2);
-    let later = now + KEPT + HOLD;
+fn old_evidence_is_removed() {
+    let (mut quarantine, now) = after_crashes(2);
+    let later = now + RETENTION + MIN_BLOCK;
     quarantine.record_crash(CONTENT, crash(9, later), later);
     assert_eq!(quarantine.blocked_for(CONTENT, later), None);
     assert_eq!(quarantine.changes_since(0, 2).0, []);
 }
 
-/// Guards against memory that grows with the number of requests that meet a crash.
+/// Guards against memory that grows with the number of requests that were running during a crash, and against
+/// losing a blocked request among them.
 #[test]
-fn what_is_held_back_outlasts_a_flood_of_weak_suspicions() {
-    let (mut quarantine, now) = suspected(3);
+fn a_blocked_request_stays_when_the_table_overflows() {
+    let (mut quarantine, now) = after_crashes(3);
     for content in 0..10_000 {
         let at = now + Duration::from_millis(content);
         quarantine.record_crash(1_000 + content, crash(9, at), at);
     }
     assert!(quarantine.blocked_for(CONTENT, now + SECOND * 10).is_some());
-    assert!(quarantine.suspects.len() <= SUSPECTS);
+    assert!(quarantine.suspects.len() <= MAX_SUSPECTS);
 }
--- a/components/policy/src/throttle.rs
+++ b/components/policy/src/throttle.rs
@@ -1,50 +1,52 @@
-//! Rate limits that backend servers name for all nodes together.
+//! Keeps the requests of all nodes within the rate limits that backend servers announce.
 //!
-//! Load pattern: a server in need says how many requests a second it takes from the whole fleet. Nodes that
-//! each keep to it by themselves send as many times as much as there are nodes; nodes that divide it by the
-//! number of nodes they know overrun it while they disagree about that number, or all save up a request
-//! and send it at once.
+//! Load pattern: an overloaded server says how many requests a second it takes from the whole fleet. Nodes
+//! that each keep to that limit on their own send it as many times over as there are nodes. Nodes that divide
+//! it by the number of nodes they know exceed it while they disagree about that number, or when all of them
+//! accrue one request and send it at once.
 //!
-//! Seeds divide the limit, each an equal part, whether the others can be reached or not. A seed saves up whole
-//! requests and hands them, as permits, to the nodes that report to it. A permit is good for a second, and
-//! a node sends such a server nothing without one. So what all nodes send in a time is bounded by what the seeds
-//! saved up in it, whoever knows what.
+//! The seeds, to which all nodes report, divide the limit in equal parts, whether they can reach each other or not. A seed accrues whole
+//! requests and hands them, as permits, to the nodes that report to it. A permit is valid for a second, and a
+//! node sends nothing to such a server without one. So the requests that all nodes send in a time are bounded
+//! by the permits that the seeds accrued in it, whatever each node knows of the others.
 
 use std::collections::{HashMap, VecDeque};
 use std::time::{Duration, Instant};
 
-/// Time for which a permit is good. Permits that nobody used must not add up to a rush.
-const GOOD: Duration = Duration::from_secs(1);
-/// Time over which a seed saves up permits that no node came for.
-const SAVED: Duration = Duration::from_millis(300);
-/// Requests a second that a server gets however little it takes, so that the end of its limit is seen.
-const LEAST: f64 = 0.25;
-/// Change of a limit, as a part of it, that is passed on to other nodes.
-const NOTICEABLE: f64 = 0.05;
+/// Time for which a permit is valid; unused permits must not add up to a burst.
+const PERMIT_LIFETIME: Duration = Duration::from_secs(1);
+/// Time over which a seed accrues permits while no node asks for them.
+const ACCRUAL: Duration = Duration::from_millis(300);
+/// Least requests a second that all nodes together send to a server, whatever its limit, so that they notice
+/// when it ends.
+const MIN_RATE: f64 = 0.25;
+/// Relative change of a limit from which on other nodes are told.
+const REPORTED_CHANGE: f64 = 0.05;
 
 derives::data! {
-    /// What a server last said of its limit.
+    /// The rate limit that a server last announced.
     #[derive(Copy)]
     pub struct RateLimit {
         /// Key of the server's name.
         pub server: u32,
-        /// Requests a second that it takes from all nodes; none if it no longer names a limit.
+        /// Requests a second that it takes from all nodes; none if it no longer has a limit.
         pub rate: Option<f64>,
-        /// When a node last received that.
+        /// When a node last received it.
         pub at: Instant,
     }
 }
 
-/// Limits that servers have named, with the version at which each last changed.
+/// The rate limits of all servers, with the version at which each last changed.
 #[derive(Debug, Default)]
 pub struct Throttle {
-    named: HashMap<u32, (RateLimit, u64)>,
+    limits: HashMap<u32, (RateLimit, u64)>,
     version: u64,
 }
 
 impl Throttle {
-    /// Takes in the head of an answer to a request that was sent at a time. One that names no limit ends an
-    /// earlier one only if the request was sent after that was received: else it may have been made before.
+    /// Records the rate limit in the headers of a response. A response without one ends an earlier limit only
+    /// if its request was sent after that limit was received; otherwise the server may have made the response
+    /// before it set the limit.
     ///
     /// ```
     /// use std::time::{Duration, Instant};
@@ -59,60 +61,60 @@
     /// assert_eq!(throttle.rate(7), None);
     /// ```
     pub fn record_response(&mut self, server: u32, rate: Option<f64>, sent: Instant, now: Instant) {
-        let known = self.named.get(&server).map(|(named, _)| named);
-        let ends = known.is_some_and(|known| known.rate.is_some() && sent > known.at);
+        let current = self.limits.get(&server).map(|(limit, _)| limit);
+        let ends = current.is_some_and(|limit| limit.rate.is_some() && sent > limit.at);
         if rate.is_some() || ends {
             self.merge(RateLimit { server, rate, at: now });
         }
     }
 
-    /// Takes in what another node received.
-    pub fn merge(&mut self, news: RateLimit) {
-        let Some((known, version)) = self.named.get_mut(&news.server) else {
+    /// Merges a limit that this or another node received; the newest one counts.
+    pub fn merge(&mut self, update: RateLimit) {
+        let Some((current, version)) = self.limits.get_mut(&update.server) else {
             self.version += 1;
-            self.named.insert(news.server, (news, self.version));
+            self.limits.insert(update.server, (update, self.version));
             return;
         };
-        if news.at <= known.at {
+        if update.at <= current.at {
             return;
         }
-        let changed = match (known.rate, news.rate) {
-            (Some(known), Some(new)) => (known - new).abs() > known * NOTICEABLE,
-            (known, new) => known != new,
+        let changed = match (current.rate, update.rate) {
+            (Some(old), Some(new)) => (old - new).abs() > old * REPORTED_CHANGE,
+            (old, new) => old != new,
         };
-        known.at = news.at;
+        current.at = update.at;
         if changed {
-            known.rate = news.rate;
+            current.rate = update.rate;
             self.version += 1;
             *version = self.version;
         }
     }
 
-    /// Forgets a server that is gone.
+    /// Removes the limit of a server that no longer exists.
     pub fn forget(&mut self, server: u32) {
-        self.named.remove(&server);
+        self.limits.remove(&server);
     }
 
-    /// Requests a second that a server takes from all nodes; none if it names no limit.
+    /// Requests a second that a server takes from all nodes; none if it has no limit.
     pub fn rate(&self, server: u32) -> Option<f64> {
-        self.named.get(&server)?.0.rate
+        self.limits.get(&server)?.0.rate
     }
 
-    /// Position up to which [`Throttle::changes_since`] tells.
+    /// Version of the latest change, for [`Throttle::changes_since`].
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// All that is known.
+    /// The limits of all servers, those that ended included.
     ///
     /// ```
     /// assert_eq!(policy::Throttle::default().all().count(), 0);
     /// ```
     pub fn all(&self) -> impl Iterator<Item = RateLimit> {
-        self.named.values().map(|(named, _)| *named)
+        self.limits.values().map(|(limit, _)| *limit)
     }
 
-    /// What changed after a version, and the version that it leads to.
+    /// The limits that changed after a version, and the version of the latest change.
     ///
     /// ```
     /// let now = std::time::Instant::now();
@@ -122,36 +124,37 @@
     /// assert_eq!(throttle.changes_since(1), (vec![], 1));
     /// ```
     pub fn changes_since(&self, version: u64) -> (Vec<RateLimit>, u64) {
-        let changed = self.named.values().filter(|(_, changed)| *changed > version);
-        (changed.map(|(named, _)| *named).collect(), self.version)
+        let changed = self.limits.values().filter(|(_, changed)| *changed > version);
+        (changed.map(|(limit, _)| *limit).collect(), self.version)
     }
 }
 
-/// Permits that a seed has saved up for one server.
+/// Permits that a seed has accrued for one server.
 #[derive(Clone, Copy, Debug)]
-struct Saved {
+struct Balance {
     permits: f64,
-    at: Instant,
+    updated: Instant,
 }
 
-/// Hands out a part of what servers take.
+/// Issues permits for one part of the servers' rate limits.
 #[derive(Debug, Default)]
 pub struct Issuer {
-    saved: HashMap<u32, Saved>,
+    balances: HashMap<u32, Balance>,
 }
 
 impl Issuer {
-    /// Permits for one of `nodes` that come for them, by server, where this is one of so many issuers which
-    /// hand out equal parts. An issuer that is new to a server's limit has saved up nothing.
+    /// Issues permits, as pairs of server and count, to one of the `nodes` that ask this issuer for them.
+    /// `issuers` is the number of issuers that divide the limits in equal parts. An issuer starts with no
+    /// permits for a server whose limit is new to it.
     ///
     /// ```
     /// use std::time::{Duration, Instant};
     ///
     /// let (mut issuer, start) = (policy::Issuer::default(), Instant::now());
-    /// let named = policy::RateLimit { server: 7, rate: Some(3.0), at: start };
-    /// assert_eq!(issuer.issue([named].into_iter(), 3.0, 2, start), []);
+    /// let limit = policy::RateLimit { server: 7, rate: Some(3.0), at: start };
+    /// assert_eq!(issuer.issue([limit].into_iter(), 3.0, 2, start), []);
     /// let later = start + Duration::from_secs(1);
-    /// assert_eq!(issuer.issue([named].into_iter(), 3.0, 2, later), [(7, 1)]);
+    /// assert_eq!(issuer.issue([limit].into_iter(), 3.0, 2, later), [(7, 1)]);
     /// ```
     pub fn issue(
         &mut self,
@@ -160,18 +163,19 @@
         nodes: usize,
         now: Instant,
     ) -> Vec<(u32, u32)> {
-        let limits: Vec<_> = limits.filter_map(|named| Some((named.server, named.rate?))).collect();
-        self.saved.retain(|server, _| limits.iter().any(|(limited, _)| limited == server));
+        let limits: Vec<_> = limits.filter_map(|limit| Some((limit.server, limit.rate?))).collect();
+        self.balances.retain(|server, _| limits.iter().any(|(limited, _)| limited == server));
         let mut permits = vec![];
         for (server, rate) in limits {
-            let rate = rate.max(LEAST) / issuers;
-            let saved = self.saved.entry(server).or_insert(Saved { permits: 0.0, at: now });
-            let earned = rate * now.saturating_duration_since(saved.at).as_secs_f64();
-            let most = (rate * SAVED.as_secs_f64()).max(1.0);
-            *saved = Saved { permits: (saved.permits + earned).min(most), at: now };
-            if saved.permits >= 1.0 {
-                let count = (saved.permits / nodes.max(1) as f64).floor().max(1.0);
-                saved.permits -= count;
+            let rate = rate.max(MIN_RATE) / issuers;
+            let balance =
+                self.balances.entry(server).or_insert(Balance { permits: 0.0, updated: now });
+            let earned = rate * now.saturating_duration_since(balance.updated).as_secs_f64();
+            let most = (rate * ACCRUAL.as_secs_f64()).max(1.0);
+            *balance = Balance { permits: (balance.permits + earned).min(most), updated: now };
+            if balance.permits >= 1.0 {
+                let count = (balance.permits / nodes.max(1) as f64).floor().max(1.0);
+                balance.permits -= count;
                 permits.push((server, count as u32));
             }
         }
@@ -179,28 +183,28 @@
     }
 }
 
-/// Permits of a node for one server that has named a limit.
+/// The permits of a node for one server that has a rate limit.
 #[derive(Debug, Default)]
 pub(crate) struct Permits {
-    /// Numbers of them, and until when they are good.
-    held: VecDeque<(u32, Instant)>,
+    /// How many were issued together, and when they expire.
+    batches: VecDeque<(u32, Instant)>,
 }
 
 impl Permits {
     pub(crate) fn add(&mut self, count: u32, now: Instant) {
-        self.held.retain(|(_, until)| now < *until);
-        self.held.push_back((count, now + GOOD));
+        self.batches.retain(|(_, expires)| now < *expires);
+        self.batches.push_back((count, now + PERMIT_LIFETIME));
     }
 
-    /// Whether there is one.
+    /// Whether there is a valid permit.
     pub(crate) fn available(&self, now: Instant) -> bool {
-        self.held.iter().any(|(count, until)| *count > 0 && now < *until)
+        self.batches.iter().any(|(count, expires)| *count > 0 && now < *expires)
     }
 
-    /// Uses the one that ends first.
+    /// Uses up the permit that expires first.
     pub(crate) fn take(&mut self, now: Instant) {
-        self.held.retain(|(count, until)| *count > 0 && now < *until);
-        if let Some((count, _)) = self.held.front_mut() {
+        self.batches.retain(|(count, expires)| *count > 0 && now < *expires);
+        if let Some((count, _)) = self.batches.front_mut() {
             *count -= 1;
         }
     }
