--- a/components/policy/src/bucket.rs
+++ b/components/policy/src/bucket.rs
@@ -1,48 +1,48 @@
-//! A token bucket: an amount that fills with time or with work and is spent.
+//! A token bucket, refilled by time or by events, whose balance may become negative.
 
 use std::time::Instant;
 
-/// An amount up to a ceiling.
+/// A balance up to a capacity.
 #[derive(Debug)]
 pub(crate) struct Bucket {
-    held: f64,
-    ceiling: f64,
-    filled: Option<Instant>,
+    balance: f64,
+    capacity: f64,
+    last_refill: Option<Instant>,
 }
 
 impl Bucket {
     /// A full bucket.
-    pub(crate) fn new(ceiling: f64) -> Self {
-        Bucket { held: ceiling, ceiling, filled: None }
+    pub(crate) fn new(capacity: f64) -> Self {
+        Bucket { balance: capacity, capacity, last_refill: None }
     }
 
-    /// Adds an amount.
+    /// Adds an amount, up to the capacity.
     pub(crate) fn add(&mut self, amount: f64) {
-        self.held = (self.held + amount).min(self.ceiling);
+        self.balance = (self.balance + amount).min(self.capacity);
     }
 
-    /// Adds what has come since the last call at a rate a second.
+    /// Adds the amount due since the last refill; `rate` is per second.
     pub(crate) fn refill(&mut self, rate: f64, now: Instant) {
-        let last = self.filled.replace(now).unwrap_or(now);
+        let last = self.last_refill.replace(now).unwrap_or(now);
         self.add(rate * now.saturating_duration_since(last).as_secs_f64());
     }
 
-    /// Part of the ceiling that is held.
+    /// The balance as a fraction of the capacity.
     pub(crate) fn fill_ratio(&self) -> f64 {
-        if self.ceiling > 0.0 { self.held / self.ceiling } else { 0.0 }
+        if self.capacity > 0.0 { self.balance / self.capacity } else { 0.0 }
     }
 
-    /// Spends an amount if it is there.
+    /// Takes an amount if the balance covers it; returns whether it did.
     pub(crate) fn try_take(&mut self, amount: f64) -> bool {
-        if self.held < amount {
+        if self.balance < amount {
             return false;
         }
-        self.held -= amount;
+        self.balance -= amount;
         true
     }
 
-    /// Spends an amount, below zero if need be: it was found out after the fact.
+    /// Takes an amount that was already spent, whatever the balance, down to minus the capacity.
     pub(crate) fn overdraw(&mut self, amount: f64) {
-        self.held = (self.held - amount).max(-self.ceiling);
+        self.balance = (self.balance - amount).max(-self.capacity);
     }
 }
--- a/components/policy/src/fair.rs
+++ b/components/policy/src/fair.rs
@@ -1,29 +1,31 @@
-//! Turns by tokens among classes of a tier and workspaces of a class.
+//! Shares service fairly, by tokens, among the classes of a tier and the workspaces of a class.
 //!
-//! Pattern: a hot caller. In order of arrival, its requests fill the queue and everybody waits as
-//! long as they do; with turns it waits for itself.
+//! Load pattern: a hot caller. In order of arrival, its requests fill the queue and all callers wait as long
+//! as it does; with fair sharing it waits for its own requests only.
 //!
-//! Virtual token counters (Sheng and others, "Fairness in serving large language models", 2024):
-//! each counter grows by what is served, divided by weight, and the lowest one is next. An answer is
-//! charged by its estimated length when it is sent, for else a workspace could start any number of
-//! them at a counter of zero; the charge is put right as tokens come and when it ends.
+//! The method is virtual token counters (Sheng and others, "Fairness in serving large language models", 2024):
+//! each counter grows by the tokens served, divided by the weight, and the lowest one is served next. An
+//! answer is charged by its estimated length when its request is sent, since a workspace could otherwise
+//! start any number of requests at a counter of zero; the charge is corrected as tokens come and when the
+//! answer ends.
 
 use std::collections::HashMap;
 
 use slotmap::SecondaryMap;
 
-/// Virtual tokens for one token at weight 1: keeps fractions of heavy weights.
-const SCALE: u64 = 1_024;
-/// Prompt tokens that cost as much as a generated one: an engine reads them in parallel, some ten to
-/// a hundred in the time of a step, so that a long prompt counts but doesn't rule.
-const PROMPT: u32 = 16;
+/// Counter units for one token at weight 1, so that integer division by a large weight keeps fractions.
+const UNITS_PER_TOKEN: u64 = 1_024;
+/// Prompt tokens that cost as much as a generated one. An engine prefills them in parallel, some ten to a
+/// hundred in the time of a decoding step; with this ratio a long prompt counts without outweighing the
+/// answer.
+const PROMPT_TOKENS_PER_TOKEN: u32 = 16;
 
-/// What a request costs: its prompt and its answer.
+/// The cost of a request in generated tokens, given the tokens of its prompt and of its answer.
 pub(crate) fn cost(prompt: u32, answer: u32) -> u32 {
-    prompt / PROMPT + answer
+    prompt / PROMPT_TOKENS_PER_TOKEN + answer
 }
 
-/// Counters of classes and of workspaces within them.
+/// The virtual token counters of classes and of workspaces within them.
 #[derive(Debug, Default)]
 pub(crate) struct Counters {
     classes: SecondaryMap<ids::Class, u64>,
@@ -39,8 +41,8 @@
         self.workspaces.get(&(class, workspace)).copied().unwrap_or(0)
     }
 
-    /// Brings the counter of a class that was idle up to those that weren't, so that idle time
-    /// can't be saved up for a burst.
+    /// Raises the counter of a class that was idle to `floor`, the lowest of those that weren't, so that a
+    /// class can't save up idle time for a burst.
     pub(crate) fn lift_class(&mut self, class: ids::Class, floor: u64) {
         if let Some(entry) = self.classes.entry(class) {
             let counter = entry.or_default();
@@ -48,7 +50,7 @@
         }
     }
 
-    /// The same for a workspace; returns its counter.
+    /// Raises the counter of a workspace that was idle to `floor`; returns the counter.
     pub(crate) fn lift_workspace(
         &mut self,
         class: ids::Class,
@@ -60,7 +62,7 @@
         *counter
     }
 
-    /// Charges tokens, or gives them back when negative.
+    /// Charges tokens to a class and a workspace, each given with its weight; negative ones are refunded.
     pub(crate) fn charge(
         &mut self,
         (class, class_weight): (ids::Class, u32),
@@ -68,7 +70,7 @@
         tokens: i64,
     ) {
         let add = |counter: &mut u64, weight: u32| {
-            let by = tokens * SCALE as i64 / i64::from(weight.max(1));
+            let by = tokens * UNITS_PER_TOKEN as i64 / i64::from(weight.max(1));
             *counter = counter.saturating_add_signed(by);
         };
         if let Some(entry) = self.classes.entry(class) {
@@ -77,14 +79,12 @@
         add(self.workspaces.entry((class, workspace)).or_default(), weight);
     }
 
-    /// Forgets a class.
     pub(crate) fn remove_class(&mut self, class: ids::Class) {
         self.classes.remove(class);
-        self.workspaces.retain(|(held, _), _| *held != class);
+        self.workspaces.retain(|(key, _), _| *key != class);
     }
 
-    /// Forgets a workspace.
     pub(crate) fn remove_workspace(&mut self, workspace: ids::Workspace) {
-        self.workspaces.retain(|(_, held), _| *held != workspace);
+        self.workspaces.retain(|(_, key), _| *key != workspace);
     }
 }
--- a/components/policy/src/health.rs
+++ b/components/policy/src/health.rs
@@ -1,90 +1,95 @@
-//! Which backend servers are left out for a while, and how they come back.
+//! Ejects backend servers that fail for a while, and takes them back after a probe.
 //!
-//! Patterns: a backend server that crashes and refuses connections at once. It looks idle, so without
-//! this the least loaded choice sends everything to it, and attempts run out. And one that fails a
-//! part of its requests: it never fails often enough in a row to be left out, and a charge that it
-//! loses is lost for good; so the part that failed of late counts against it beside its load. And one
-//! that hangs: its attempts end only as callers lose patience, and what was known by them goes too.
+//! Load patterns: a backend server crashes and refuses connections at once. It looks idle, so without
+//! ejection the least-loaded choice sends everything there, and requests run out of attempts.
+//!
+//! A server fails some of its requests. It never fails often enough in a row to be ejected, and a request
+//! that may not be repeated, such as a charge, is lost for good; so its recent failure rate counts against it
+//! beside its load.
+//!
+//! A server stalls. Its attempts end only as callers give up, and what these attempts showed is lost with
+//! them; so one that ends this way counts as a failure and ejects the server.
 
 use std::time::{Duration, Instant};
 
-/// Failures in a row that leave a server out: one may be chance, two at a place that served before
-/// rarely are.
-const FAILURES: u32 = 2;
-/// First time out; a process restarts in about that time.
-const FIRST: Duration = Duration::from_millis(500);
-/// Longest time out, so that a server which is back is found within ten seconds.
-const LONGEST: Duration = Duration::from_secs(8);
+/// Consecutive failures that eject a server: one may be chance, two at a server that worked before rarely are.
+const MAX_FAILURES: u32 = 2;
+/// First ejection time; a process restarts in about that time.
+const FIRST_EJECTION: Duration = Duration::from_millis(500);
+/// Longest ejection time, so that a server that is back is used again within ten seconds.
+const LONGEST_EJECTION: Duration = Duration::from_secs(8);
 
-/// Weight of an attempt's end in the part that failed: ten attempts show a change.
+/// Weight of one outcome in the failure rate: ten attempts show a change.
 const WEIGHT: f64 = 0.1;
-/// The part that failed counts half after this time, so that a server which is well again is found.
-const HALF: Duration = Duration::from_secs(3);
+/// Half-life of the failure rate, so that a server that has recovered is used again.
+const HALF_LIFE: Duration = Duration::from_secs(3);
 
-/// What attempts at one backend server tell of it.
+/// The health of one backend server, by the outcomes of its attempts.
 #[derive(Debug, Default)]
 pub(crate) struct Health {
-    failures: u32,
-    until: Option<Instant>,
-    /// When it was left out last.
-    since: Option<Instant>,
-    /// Part of the attempts of late that failed.
-    part: f64,
-    ended: Option<Instant>,
+    consecutive_failures: u32,
+    ejected_until: Option<Instant>,
+    /// When it was last ejected.
+    ejected_at: Option<Instant>,
+    /// Failure rate at the last outcome, from 0 to 1.
+    failure_rate: f64,
+    last_outcome: Option<Instant>,
 }
 
 impl Health {
-    /// An attempt got an answer.
+    /// Records that an attempt got a response, which ends an ejection.
     pub(crate) fn record_response(&mut self) {
-        self.failures = 0;
-        self.until = None;
+        self.consecutive_failures = 0;
+        self.ejected_until = None;
     }
 
-    /// An attempt ended, well or not.
-    pub(crate) fn record_outcome(&mut self, well: bool, now: Instant) {
-        let held = self.failure_rate(now);
-        let sample = if well { 0.0 } else { 1.0 };
-        self.part = held + (sample - held) * WEIGHT;
-        self.ended = Some(now);
+    /// Records the outcome of an attempt in the failure rate.
+    pub(crate) fn record_outcome(&mut self, success: bool, now: Instant) {
+        let rate = self.failure_rate(now);
+        let sample = if success { 0.0 } else { 1.0 };
+        self.failure_rate = rate + (sample - rate) * WEIGHT;
+        self.last_outcome = Some(now);
     }
 
-    /// Part of the attempts of late that failed.
+    /// The fraction of recent attempts that failed, from 0 to 1.
     pub(crate) fn failure_rate(&self, now: Instant) -> f64 {
-        let Some(ended) = self.ended else { return 0.0 };
-        let age = now.saturating_duration_since(ended).as_secs_f64() / HALF.as_secs_f64();
-        self.part * (-age).exp2()
+        let Some(last) = self.last_outcome else { return 0.0 };
+        let age = now.saturating_duration_since(last).as_secs_f64() / HALF_LIFE.as_secs_f64();
+        self.failure_rate * (-age).exp2()
     }
 
-    /// An attempt failed. `jitter` is from 0 to 1 and keeps nodes from probing in step.
+    /// Records a failed attempt, and ejects the server after several in a row. `jitter` is from 0 to 1 and
+    /// keeps nodes from probing the server at the same time.
     pub(crate) fn record_failure(&mut self, now: Instant, jitter: f64) {
-        self.failures = self.failures.saturating_add(1);
-        if self.failures < FAILURES {
+        self.consecutive_failures = self.consecutive_failures.saturating_add(1);
+        if self.consecutive_failures < MAX_FAILURES {
             return;
         }
-        let doublings = (self.failures - FAILURES).min(8);
-        let time = (FIRST * (1 << doublings)).min(LONGEST);
-        self.until = Some(now + time.mul_f64(0.75 + jitter / 2.0));
-        self.since = Some(now);
+        let doublings = (self.consecutive_failures - MAX_FAILURES).min(8);
+        let time = (FIRST_EJECTION * (1 << doublings)).min(LONGEST_EJECTION);
+        self.ejected_until = Some(now + time.mul_f64(0.75 + jitter / 2.0));
+        self.ejected_at = Some(now);
     }
 
-    /// An attempt sent at `sent` was given up, and the server has begun nothing since. That is no
-    /// chance; of several that were there at once only the first says something new.
+    /// Records that the caller of an attempt that was sent at `sent` gave up, while the server has begun no
+    /// answer since. That is no chance, so it ejects the server at once. Of several such attempts that were
+    /// there together only the first counts: the others show the same stall.
     pub(crate) fn record_stall(&mut self, sent: Instant, now: Instant, jitter: f64) {
-        if self.since.is_some_and(|since| sent < since) {
+        if self.ejected_at.is_some_and(|ejected| sent < ejected) {
             return;
         }
-        self.failures = self.failures.max(FAILURES - 1);
+        self.consecutive_failures = self.consecutive_failures.max(MAX_FAILURES - 1);
         self.record_failure(now, jitter);
     }
 
-    /// Left out now.
+    /// Whether the server is ejected now.
     pub(crate) fn is_ejected(&self, now: Instant) -> bool {
-        self.until.is_some_and(|until| now < until)
+        self.ejected_until.is_some_and(|until| now < until)
     }
 
-    /// Back on probation: one request at a time until one is answered.
+    /// Whether the server was ejected and no attempt got a response since: it gets one request at a time.
     pub(crate) fn is_on_probation(&self) -> bool {
-        self.until.is_some()
+        self.ejected_until.is_some()
     }
 }
 
--- a/components/policy/src/health/tests.rs
+++ b/components/policy/src/health/tests.rs
@@ -2,16 +2,16 @@
 
 use super::Health;
 
-/// A server fails a third of its requests and answers the rest, so it is never left out. Its part of
-/// failures tells of it, and fades once it is well or unused.
+/// Guards against going on with a server that fails a third of its requests, never enough in a row to be
+/// ejected. Its failure rate shows that, and fades once it has recovered or is unused.
 #[test]
-fn a_part_that_fails_is_seen_and_forgotten() {
+fn the_failure_rate_rises_and_fades() {
     let (mut health, now) = (Health::default(), Instant::now());
     for n in 0..60 {
         health.record_outcome(n % 3 != 0, now);
     }
-    let faults = health.failure_rate(now);
-    assert!((0.15..0.5).contains(&faults), "{faults}");
+    let rate = health.failure_rate(now);
+    assert!((0.15..0.5).contains(&rate), "{rate}");
     assert!(health.failure_rate(now + Duration::from_secs(30)) < 0.01);
     for _ in 0..60 {
         health.record_outcome(true, now);
--- a/components/policy/src/pool.rs
+++ b/components/policy/src/pool.rs
@@ -1,41 +1,45 @@
-//! Backend servers that stand in for one another, and the requests that wait for one of them.
+//! Groups interchangeable backend servers into pools, with the queues of requests that wait for them.
 //!
-//! All requests of a pool ask for the same model and may use the same servers, so when the head of
-//! a class finds no place, nothing behind it would either, and a decision needn't look further.
+//! All requests of a pool ask for the same model and may use the same servers. So when the first request of a
+//! class gets no slot, no request behind it would, and the dispatcher needn't look further.
 
 use crate::forecast::Throughput;
 use crate::isolation::Isolation;
 use crate::queue::Lanes;
 
 slotmap::new_key_type! {
-    /// A pool.
+    /// Key of a pool.
     pub(crate) struct Key;
 }
 
-/// Requests of one class that wait for a pool.
+/// The requests of one class that wait for a pool.
 #[derive(Debug)]
 pub(crate) struct Queue {
     pub(crate) class: ids::Class,
     pub(crate) tier: u8,
+    /// Requests that can still meet their first-token target or whose answer has begun; served first.
     pub(crate) on_time: Lanes,
-    /// Those whose first-token target is missed.
+    /// Requests that miss it.
     pub(crate) late: Lanes,
     pub(crate) throughput: Throughput,
-    /// Epoch in which its head found no place.
+    /// Epoch in which its first request got no slot.
     pub(crate) blocked_epoch: u64,
-    /// Counter of the lane last served.
+    /// Highest counter of the lanes served so far.
     pub(crate) last_counter: u64,
 }
 
 impl Queue {
+    /// The request to serve next.
     pub(crate) fn peek(&self) -> Option<ids::Job> {
         self.on_time.peek().or_else(|| self.late.peek())
     }
 
+    /// Number of requests.
     pub(crate) fn len(&self) -> usize {
         self.on_time.len() + self.late.len()
     }
 
+    /// Sum of the requests' expected tokens.
     pub(crate) fn tokens(&self) -> u64 {
         self.on_time.tokens() + self.late.tokens()
     }
@@ -50,31 +54,31 @@
 pub(crate) struct Member {
     pub(crate) server: ids::Server,
     pub(crate) region: ids::Region,
-    /// Its place among those of its region that take new work, by a hash that all nodes share.
+    /// Its position among the members of its region, by a hash of its name that is the same on all nodes.
     pub(crate) rank: usize,
 }
 
-/// A pool.
+/// A pool of backend servers.
 #[derive(Debug)]
 pub(crate) struct Pool {
     pub(crate) model: ids::Model,
-    /// Servers that its workspaces may use; empty means all.
+    /// Servers that its workspaces may use; empty if they may use all.
     pub(crate) allowed: Vec<ids::Server>,
     pub(crate) servers: Vec<ids::Server>,
-    /// Those of them that take new work.
+    /// The servers that take new work.
     pub(crate) members: Vec<Member>,
     pub(crate) isolation: Isolation,
-    /// By tier, then class.
+    /// Sorted by tier, then class.
     pub(crate) queues: Vec<Queue>,
-    /// Epoch in which none of its servers had a place for this node.
+    /// Epoch in which none of its servers had a slot for this node.
     pub(crate) full_epoch: u64,
-    /// Requests that refer to it.
+    /// Number of requests that belong to it, waiting or sent.
     pub(crate) jobs: usize,
-    /// Tokens a second that this node may expect of it.
+    /// Tokens a second that this node can expect of it.
     pub(crate) token_rate: f64,
-    /// Median seconds between tokens.
+    /// Median time between tokens at its servers, in seconds.
     pub(crate) token_interval: f64,
-    /// Median seconds to the first token once sent.
+    /// Median time from sending a request to its first token, in seconds.
     pub(crate) first_token_time: f64,
 }
 
@@ -95,26 +99,27 @@
         }
     }
 
-    /// The line of a class, made if need be.
+    /// The queue of a class, created if it doesn't exist.
     pub(crate) fn queue_mut(&mut self, tier: u8, class: ids::Class) -> &mut Queue {
-        let found = self.queues.binary_search_by_key(&(tier, class), |l| (l.tier, l.class));
+        let found =
+            self.queues.binary_search_by_key(&(tier, class), |queue| (queue.tier, queue.class));
         let index = found.unwrap_or_else(|index| {
             let (on_time, late, throughput) =
                 (Lanes::default(), Lanes::default(), Throughput::default());
-            let line =
+            let queue =
                 Queue { class, tier, on_time, late, throughput, blocked_epoch: 0, last_counter: 0 };
-            self.queues.insert(index, line);
+            self.queues.insert(index, queue);
             index
         });
         &mut self.queues[index]
     }
 
-    /// Requests that wait.
+    /// Number of requests that wait.
     pub(crate) fn waiting(&self) -> usize {
         self.queues.iter().map(Queue::len).sum()
     }
 
-    /// Seconds from being sent to the end, for an answer of so many tokens.
+    /// Time from sending a request to the end of an answer of so many tokens, in seconds.
     pub(crate) fn service_seconds(&self, tokens: u32) -> f64 {
         self.first_token_time + self.token_interval * f64::from(tokens)
     }
