--- a/components/policy/tests/quarantine.rs
+++ b/components/policy/tests/quarantine.rs
@@ -1,4 +1,4 @@
-//! What a fleet of nodes knows of requests that crash servers, told over messages that are lost.
+//! Quarantine across a fleet whose nodes exchange their evidence in messages, some of which are lost.
 
 use std::collections::BTreeSet;
 use std::time::{Duration, Instant};
@@ -8,53 +8,56 @@
 use proptest::test_runner::RngSeed;
 
 const NODES: usize = 12;
-/// Nodes that the others tell what they know, and ask.
+/// Nodes with which all others exchange evidence.
 const SEEDS: usize = 3;
 /// Time between two messages of a node.
-const PAUSE: Duration = Duration::from_millis(150);
+const MESSAGE_INTERVAL: Duration = Duration::from_millis(150);
 
-/// A node, with how far it has told each other one and has heard of it.
+/// A node, with the versions up to which it has sent its evidence to each other node and received theirs.
 struct Node {
     quarantine: Quarantine,
-    told: [u64; NODES],
-    heard: [u64; NODES],
+    sent: [u64; NODES],
+    received: [u64; NODES],
 }
 
 fn fleet() -> Vec<Node> {
     let node = |seed| Node {
         quarantine: Quarantine::new(seed as u64),
-        told: [0; NODES],
-        heard: [0; NODES],
+        sent: [0; NODES],
+        received: [0; NODES],
     };
     (0..NODES).map(node).collect()
 }
 
-/// One node tells a seed, which answers; the message or its answer may be lost. Returns what was told.
+/// A node sends its evidence to a seed, which answers; the message or its answer may be lost. Returns the number
+/// of suspects sent both ways.
 fn exchange(fleet: &mut [Node], from: usize, to: usize, lost: (bool, bool), now: Instant) -> usize {
-    let least = if from < SEEDS { 1 } else { 2 };
-    let (told, version) = fleet[from].quarantine.changes_since(fleet[from].told[to], 1);
-    let mut messages = told.len();
+    let min_crashes = if from < SEEDS { 1 } else { 2 };
+    let (sent, version) = fleet[from].quarantine.changes_since(fleet[from].sent[to], 1);
+    let mut count = sent.len();
     if lost.0 {
-        return messages;
+        return count;
     }
-    for evidence in told {
+    for evidence in sent {
         fleet[to].quarantine.merge(evidence, now);
     }
-    let (answer, heard) = fleet[to].quarantine.changes_since(fleet[from].heard[to], least);
-    messages += answer.len();
+    let (answer, received) =
+        fleet[to].quarantine.changes_since(fleet[from].received[to], min_crashes);
+    count += answer.len();
     if lost.1 {
-        return messages;
+        return count;
     }
-    (fleet[from].told[to], fleet[from].heard[to]) = (version, heard);
+    (fleet[from].sent[to], fleet[from].received[to]) = (version, received);
     for evidence in answer {
         fleet[from].quarantine.merge(evidence, now);
     }
-    messages
+    count
 }
 
-/// Every node talks to its seed once, and seeds to each other. Returns how much was told.
-fn round(fleet: &mut [Node], lost: &BTreeSet<usize>, now: Instant) -> usize {
-    let mut messages = 0;
+/// Every node exchanges evidence with its seed once, and the seeds with each other. Returns the number of
+/// suspects sent.
+fn exchange_all(fleet: &mut [Node], lost: &BTreeSet<usize>, now: Instant) -> usize {
+    let mut count = 0;
     for from in 0..NODES {
         let peers: Vec<_> = if from < SEEDS {
             (0..SEEDS).filter(|to| *to != from).collect()
@@ -63,10 +66,10 @@
         };
         for to in peers {
             let lost = (lost.contains(&from), lost.contains(&(from + NODES)));
-            messages += exchange(fleet, from, to, lost, now);
+            count += exchange(fleet, from, to, lost, now);
         }
     }
-    messages
+    count
 }
 
 fn config() -> ProptestConfig {
@@ -76,58 +79,58 @@
 proptest! {
     #![proptest_config(config())]
 
-    /// Guards against nodes that go on sending what others saw crash three servers.
+    /// Guards against nodes that go on sending a request which crashed three servers under other nodes.
     #[test]
-    fn all_nodes_hold_back_what_crashed_three_servers(
+    fn all_nodes_block_what_crashed_three_servers(
         observers in prop::collection::vec(0..NODES, 3),
         losses in prop::collection::vec(prop::collection::btree_set(0..2 * NODES, 0..NODES), 5),
     ) {
         let (mut fleet, mut now) = (fleet(), Instant::now());
         for (server, observer) in observers.into_iter().enumerate() {
-            now += PAUSE;
+            now += MESSAGE_INTERVAL;
             fleet[observer].quarantine.record_crash(1, Crash { instance: server as u32, sent: now, at: now }, now);
         }
         for lost in &losses {
-            now += PAUSE;
-            round(&mut fleet, lost, now);
+            now += MESSAGE_INTERVAL;
+            exchange_all(&mut fleet, lost, now);
         }
         for _ in 0..3 {
-            now += PAUSE;
-            round(&mut fleet, &BTreeSet::new(), now);
+            now += MESSAGE_INTERVAL;
+            exchange_all(&mut fleet, &BTreeSet::new(), now);
         }
         for node in &fleet {
             prop_assert!(node.quarantine.blocked_for(1, now).is_some());
         }
     }
 
-    /// Guards against nodes that tell each other the same for ever.
+    /// Guards against nodes that send each other the same evidence for ever.
     #[test]
-    fn nodes_fall_silent_once_all_know(
+    fn nodes_send_nothing_once_all_have_the_evidence(
         crashes in prop::collection::vec((0..NODES, 0_u64..4, 0_u32..6), 1..40),
         answers in prop::collection::vec((0..NODES, 0_u64..4), 0..10),
     ) {
         let (mut fleet, mut now) = (fleet(), Instant::now());
         for (observer, content, server) in crashes {
-            now += PAUSE;
+            now += MESSAGE_INTERVAL;
             fleet[observer].quarantine.record_crash(content, Crash { instance: server, sent: now, at: now }, now);
-            round(&mut fleet, &BTreeSet::new(), now);
+            exchange_all(&mut fleet, &BTreeSet::new(), now);
         }
         for (observer, content) in answers {
-            now += PAUSE;
+            now += MESSAGE_INTERVAL;
             fleet[observer].quarantine.record_completion(content, now);
-            round(&mut fleet, &BTreeSet::new(), now);
+            exchange_all(&mut fleet, &BTreeSet::new(), now);
         }
         for _ in 0..4 {
-            now += PAUSE;
-            round(&mut fleet, &BTreeSet::new(), now);
+            now += MESSAGE_INTERVAL;
+            exchange_all(&mut fleet, &BTreeSet::new(), now);
         }
-        prop_assert_eq!(round(&mut fleet, &BTreeSet::new(), now), 0);
+        prop_assert_eq!(exchange_all(&mut fleet, &BTreeSet::new(), now), 0);
     }
 
-    /// Guards against sound requests that are held back since many servers crash, again and again: each is
-    /// sent twice by its caller, and meets a crash each time.
+    /// Guards against blocking harmless requests where many servers are killed at once, again and again: each
+    /// request is sent twice by its caller, and its server is killed each time.
     #[test]
-    fn a_kill_of_many_holds_no_sound_request_back(
+    fn killing_many_servers_blocks_no_harmless_request(
         kills in prop::collection::vec((1_u32..9, 0_u64..2_000), 1..12),
         requests in 1_u64..200,
     ) {
@@ -135,7 +138,7 @@
         for (kill, (servers, pause)) in kills.into_iter().enumerate() {
             now += Duration::from_millis(pause);
             for request in 0..requests {
-                // A request comes with one kill and is tried again at the next.
+                // A request comes with every other kill and is tried again at the next one.
                 let content = (kill as u64 / 2) * requests + request;
                 let server = kill as u32 * 100 + request as u32 % servers;
                 quarantine.record_crash(content, Crash { instance: server, sent: now, at: now }, now);
--- a/components/policy/tests/throttle.rs
+++ b/components/policy/tests/throttle.rs
@@ -1,4 +1,4 @@
-//! Servers that name a rate limit for all nodes together.
+//! Servers with a rate limit for all nodes together.
 
 mod common;
 
@@ -11,8 +11,8 @@
 
 const SECOND: Duration = Duration::from_secs(1);
 
-/// Jobs that are sent now, and where to.
-fn sent(fixture: &mut Fixture) -> Vec<ids::Server> {
+/// The servers to which requests are sent now.
+fn poll_sends(fixture: &mut Fixture) -> Vec<ids::Server> {
     let mut actions = vec![];
     fixture.scheduler.poll(fixture.now, &mut actions);
     let server = |action: Action| match action {
@@ -29,36 +29,36 @@
     }
 }
 
-/// Guards against requests that are lost on a server whose limit is reached while others have room.
+/// Guards against sending requests to a server whose limit is reached while others have free slots.
 #[test]
 fn requests_go_to_servers_without_a_limit() {
     let mut fixture = Fixture::new(1, 3, 4, 100);
     let limited = fixture.servers[0];
     fixture.scheduler.set_rate_limited(limited, true);
     submit(&mut fixture, 6);
-    let servers = sent(&mut fixture);
+    let servers = poll_sends(&mut fixture);
     assert_eq!(servers.len(), 6);
     assert!(!servers.contains(&limited));
 }
 
-/// Guards against a queue that rushes to a server as soon as it may be sent one request.
+/// Guards against sending a whole queue to a server once there is a permit for a single request.
 #[test]
 fn requests_wait_for_permits_where_all_servers_are_limited() {
     let mut fixture = Fixture::new(1, 1, 8, 100);
     let server = fixture.servers[0];
     fixture.scheduler.set_rate_limited(server, true);
     submit(&mut fixture, 5);
-    assert_eq!(sent(&mut fixture), []);
+    assert_eq!(poll_sends(&mut fixture), []);
     for permits in [1, 2] {
         fixture.now += SECOND;
         fixture.scheduler.add_permits(server, permits, fixture.now);
-        assert_eq!(sent(&mut fixture).len(), permits as usize);
+        assert_eq!(poll_sends(&mut fixture).len(), permits as usize);
     }
     fixture.scheduler.add_permits(server, 1, fixture.now);
     fixture.now += SECOND * 2;
-    assert_eq!(sent(&mut fixture), [], "the permit has ended");
+    assert_eq!(poll_sends(&mut fixture), [], "the permit has expired");
     fixture.scheduler.set_rate_limited(server, false);
-    assert_eq!(sent(&mut fixture).len(), 2);
+    assert_eq!(poll_sends(&mut fixture).len(), 2);
 }
 
 fn config() -> ProptestConfig {
@@ -69,7 +69,7 @@
     #![proptest_config(config())]
 
     /// Guards against nodes that together send more than a server takes, however many they are, whichever seed
-    /// each of them reaches, and though seeds start anew.
+    /// each of them reaches, and also when seeds restart.
     #[test]
     fn permits_of_all_seeds_keep_to_a_limit(
         rate in prop_oneof![0.0..4.0_f64, 4.0..60.0, 60.0..2_000.0],
@@ -78,21 +78,21 @@
         calls in prop::collection::vec((0_usize..3, 0_u64..60, 0_u32..100), 100..400),
     ) {
         let start = Instant::now();
-        let named = RateLimit { server: 1, rate: Some(rate), at: start };
+        let limit = RateLimit { server: 1, rate: Some(rate), at: start };
         let mut issuers: Vec<_> = (0..seeds).map(|_| Issuer::default()).collect();
-        let (mut now, mut grants) = (start, vec![]);
-        for (seed, pause, luck) in calls {
+        let (mut now, mut issued) = (start, vec![]);
+        for (seed, pause, restart) in calls {
             now += Duration::from_millis(pause);
             let issuer = &mut issuers[seed % seeds];
-            if luck == 0 {
+            if restart == 0 {
                 *issuer = Issuer::default();
             }
-            let permits = issuer.issue([named].into_iter(), seeds as f64, nodes, now);
-            grants.extend(permits.into_iter().map(|(_, count)| (now, count)));
+            let permits = issuer.issue([limit].into_iter(), seeds as f64, nodes, now);
+            issued.extend(permits.into_iter().map(|(_, count)| (now, count)));
         }
-        // A permit is good for a second, so those of five seconds may be used within four.
-        for (end, _) in &grants {
-            let window = grants.iter().filter(|(at, _)| at <= end && *end < *at + SECOND * 5);
+        // A permit is valid for a second, so the permits issued in five seconds may be used within four.
+        for (end, _) in &issued {
+            let window = issued.iter().filter(|(at, _)| at <= end && *end < *at + SECOND * 5);
             let used: u32 = window.map(|(_, count)| count).sum();
             let allowed = 1.5 * 4.0 * rate + 5.0;
             prop_assert!(f64::from(used) <= allowed, "{} of {}", used, allowed);
