--- a/components/policy/src/action.rs
+++ b/components/policy/src/action.rs
@@ -5,7 +5,8 @@
 use crate::terms::{Demand, Report, Request, Share};
 
 derives::value! {
-    /// Why a request is refused. Every refusal tells the caller that nothing ran.
+    /// Why a request is refused. A refused request runs at no server; the driver knows whether an earlier
+    /// attempt of it may have run.
     pub enum Refusal {
         /// The queue is full and no request of a lower tier can be displaced.
         Full,
@@ -48,8 +49,8 @@
             /// The server to send it to.
             server: ids::Server,
         },
-        /// Tell the caller that the request was refused and nothing ran. The scheduler no longer knows
-        /// the job.
+        /// Tell the caller that the request was refused, and that nothing ran unless an earlier attempt may
+        /// have. The scheduler no longer knows the job.
         Refuse {
             /// The refused job.
             job: ids::Job,
