--- a/components/forward/src/attempt.rs
+++ b/components/forward/src/attempt.rs
@@ -175,7 +175,7 @@
             let limit = state.site.servers.limit(&head);
             // What a server says that runs nothing, or fails, needn't name its limit.
             if limit != Limit::Unnamed || head.status.is_success() {
-                limits::answered(state, server, &limit, sent);
+                limits::record_answer(state, server, &limit, sent);
             }
         }
         match verdict {
--- a/components/forward/src/crossing.rs
+++ b/components/forward/src/crossing.rs
@@ -33,7 +33,7 @@
     }
 
     /// Counts a request to an engine.
-    pub(crate) fn add(&self, bytes: usize, now: Instant) {
+    pub(crate) fn record_sent(&self, bytes: usize, now: Instant) {
         let held = self.faded(now);
         *self.bytes.borrow_mut() = (held + bytes as f64, now);
     }
@@ -52,7 +52,7 @@
     }
 
     /// Takes in the rate of all nodes; returns whether homes may cross regions.
-    pub(crate) fn allowed(&self, kib_per_s: u32) -> bool {
+    pub(crate) fn update_allowed(&self, kib_per_s: u32) -> bool {
         let allowed = if self.allowed.get() { kib_per_s <= MOST } else { kib_per_s < LEAST };
         if self.allowed.replace(allowed) != allowed {
             log::info!(allowed = allowed, kib_per_s = kib_per_s; "homes across regions");
--- a/components/forward/src/crossing/tests.rs
+++ b/components/forward/src/crossing/tests.rs
@@ -7,11 +7,11 @@
 #[test]
 fn homes_stay_in_their_region_above_what_a_link_bears() {
     let crossing = Crossing::new(Instant::now());
-    assert!(crossing.allowed(MOST));
-    assert!(!crossing.allowed(MOST + 1));
-    assert!(!crossing.allowed(LEAST));
-    assert!(crossing.allowed(LEAST - 1));
-    assert!(crossing.allowed(MOST));
+    assert!(crossing.update_allowed(MOST));
+    assert!(!crossing.update_allowed(MOST + 1));
+    assert!(!crossing.update_allowed(LEAST));
+    assert!(crossing.update_allowed(LEAST - 1));
+    assert!(crossing.update_allowed(MOST));
 }
 
 /// A node sends a hundred requests of 18 KiB a second. What it tells of is about that, and nothing
@@ -22,7 +22,7 @@
     let crossing = Crossing::new(now);
     for _ in 0..4_000 {
         now += Duration::from_millis(10);
-        crossing.add(18 << 10, now);
+        crossing.record_sent(18 << 10, now);
     }
     let rate = crossing.kib_per_s(now);
     assert!((1_600..2_000).contains(&rate), "{rate}");
--- a/components/forward/src/follow.rs
+++ b/components/forward/src/follow.rs
@@ -77,7 +77,7 @@
                 if !sources.probes() {
                     failed(&state, source, &cause);
                 }
-                sources.set_delegate(state.callers.pick());
+                sources.set_delegate(state.callers.pick_candidate());
                 if sources.failed(failure(&cause), duty, state.clock.now()) {
                     rounds += 1;
                     let pause = if sources.starting() { jittered(STARTS) } else { pause(rounds) };
--- a/components/forward/src/intake.rs
+++ b/components/forward/src/intake.rs
@@ -75,7 +75,7 @@
     let body = body.map_err(|_| Error::Slow)??;
     listen::received(&head);
     if call.prompt.tokens > 0 {
-        state.crossing.add(body.len(), state.clock.now());
+        state.crossing.record_sent(body.len(), state.clock.now());
     }
     let request = request(state, &book, &call, &found, arrived, limit)?;
     let content = content(&head, &call, &found, &body);
--- a/components/forward/src/limits.rs
+++ b/components/forward/src/limits.rs
@@ -43,7 +43,12 @@
 }
 
 /// Takes in what the head of an answer says, to a request that was sent at a time.
-pub(crate) fn answered<S: Site>(state: &State<S>, server: &Entry, limit: &Limit, sent: Instant) {
+pub(crate) fn record_answer<S: Site>(
+    state: &State<S>,
+    server: &Entry,
+    limit: &Limit,
+    sent: Instant,
+) {
     let (key, now) = (wire::key(&server.name), state.clock.now());
     let before = state.limits.throttle.borrow().rate(key);
     let rate = match limit {
@@ -58,7 +63,7 @@
     let after = state.limits.throttle.borrow().rate(key);
     if before.is_some() != after.is_some() {
         log::info!(server = server.name.as_str(), rate_per_s = after; "server's rate limit");
-        apply(state);
+        apply_to_scheduler(state);
     }
 }
 
@@ -69,13 +74,13 @@
         state.limits.throttle.borrow_mut().learn(named);
     }
     if state.limits.throttle.borrow().version() > before {
-        apply(state);
+        apply_to_scheduler(state);
     }
 }
 
 /// Tells the decisions which servers have named a limit. Without the exchange between nodes there are no
 /// permits, so there is none for them either.
-pub(crate) fn apply<S: Site>(state: &State<S>) {
+pub(crate) fn apply_to_scheduler<S: Site>(state: &State<S>) {
     if !state.without.has(Mechanism::Loads) {
         return;
     }
--- a/components/forward/src/source.rs
+++ b/components/forward/src/source.rs
@@ -105,7 +105,8 @@
     /// The sources of the node `name` that listens for peers at `own` and starts now.
     pub(crate) fn new(name: &str, own: SocketAddr, seeds: &[SocketAddr], now: Instant) -> Self {
         let seed = seeds.contains(&own);
-        let mut order: Vec<_> = nearest(name, own, seeds).into_iter().map(Source::Peer).collect();
+        let mut order: Vec<_> =
+            seeds_by_preference(name, own, seeds).into_iter().map(Source::Peer).collect();
         let store = if seed { 0 } else { order.len() };
         order.insert(store, Source::Store);
         Sources {
@@ -242,14 +243,14 @@
 
 /// The nodes that asked a seed of late, any of which may be its delegate, and whether this node is one.
 #[derive(Debug, Default)]
-pub(crate) struct Callers {
+pub(crate) struct Delegates {
     recent: RefCell<VecDeque<SocketAddr>>,
     asked: Cell<Option<Instant>>,
 }
 
-impl Callers {
+impl Delegates {
     /// A node that listens for peers at an address asked.
-    pub(crate) fn note(&self, address: SocketAddr) {
+    pub(crate) fn add_candidate(&self, address: SocketAddr) {
         let mut recent = self.recent.borrow_mut();
         recent.retain(|known| *known != address);
         recent.truncate(CALLERS - 1);
@@ -257,14 +258,14 @@
     }
 
     /// One of them by chance, so that one which has lost the store too isn't asked again and again.
-    pub(crate) fn pick(&self) -> Option<SocketAddr> {
+    pub(crate) fn pick_candidate(&self) -> Option<SocketAddr> {
         let recent = self.recent.borrow();
         let index = rand::rng().random_range(0..recent.len().max(1));
         recent.get(index).copied()
     }
 
     /// A seed asked this node.
-    pub(crate) fn delegated(&self, now: Instant) {
+    pub(crate) fn record_delegation(&self, now: Instant) {
         self.asked.set(Some(now));
     }
 
@@ -275,7 +276,11 @@
 }
 
 /// The seeds but `own`: that of the own network first, then by a hash that differs by node.
-pub(crate) fn nearest(name: &str, own: SocketAddr, seeds: &[SocketAddr]) -> Vec<SocketAddr> {
+pub(crate) fn seeds_by_preference(
+    name: &str,
+    own: SocketAddr,
+    seeds: &[SocketAddr],
+) -> Vec<SocketAddr> {
     let mut peers: Vec<_> = seeds.iter().copied().filter(|seed| *seed != own).collect();
     peers.sort_by_key(|seed| {
         let hash = xxh3_64(format!("{name} {seed}").as_bytes());
--- a/components/forward/src/state.rs
+++ b/components/forward/src/state.rs
@@ -23,8 +23,8 @@
 use crate::node::Node;
 use crate::replica::Replica;
 use crate::site::{Dialects, Site};
-use crate::source::{Callers, Sources};
-use crate::updates::{self, Received};
+use crate::source::{Delegates, Sources};
+use crate::updates::{self, WorkReports};
 
 /// Idle connections kept to one server. Servers take a limited number from all nodes together.
 const KEPT: usize = 24;
@@ -89,13 +89,13 @@
     pub(crate) told: Notify,
     pub(crate) peers: awc::Client,
     /// Nodes that asked this one for what is published.
-    pub(crate) callers: Callers,
+    pub(crate) callers: Delegates,
     /// Nodes of the fleet, as far as known.
     pub(crate) fleet_nodes: Cell<u32>,
     /// Work that other nodes told this one of.
-    pub(crate) received: Received,
+    pub(crate) received: WorkReports,
     /// Work that other seeds heard of.
-    pub(crate) seeds_received: Received,
+    pub(crate) seeds_received: WorkReports,
     /// What nodes report to each other of engines.
     pub(crate) gossip: Gossip,
     pub(crate) crossing: Crossing,
@@ -152,11 +152,11 @@
             replica: RefCell::default(),
             forgotten: Cell::new(false),
             told: Notify::new(),
-            peers: updates::client(),
-            callers: Callers::default(),
+            peers: updates::peer_client(),
+            callers: Delegates::default(),
             fleet_nodes: Cell::new(1),
-            received: Received::default(),
-            seeds_received: Received::default(),
+            received: WorkReports::default(),
+            seeds_received: WorkReports::default(),
             gossip,
             crossing: Crossing::new(clock.now()),
             limits: Limits::default(),
@@ -196,7 +196,7 @@
     /// The seeds, in the order in which this node asks them.
     pub(crate) fn seeds(&self) -> Vec<SocketAddr> {
         let node = self.node();
-        crate::source::nearest(&node.name, node.peers, &node.seeds)
+        crate::source::seeds_by_preference(&node.name, node.peers, &node.seeds)
     }
 
     /// The other seeds, if this node is one.
@@ -226,7 +226,7 @@
     pub(crate) fn set_fleet(&self, work: Work) {
         self.fleet_nodes.set(work.nodes.max(1));
         let bounded = self.without.has(Own::Crossing);
-        let crosses = !bounded || self.crossing.allowed(work.kib_per_s);
+        let crosses = !bounded || self.crossing.update_allowed(work.kib_per_s);
         self.turns.scheduler.borrow_mut().set_crossing(crosses);
         if work.nodes > 1 {
             let groups = [work.strict_ms, work.steady_ms, work.bulk_ms];
@@ -338,7 +338,7 @@
             }
         }
         drop((roster, names, scheduler));
-        limits::apply(self);
+        limits::apply_to_scheduler(self);
         self.turns.pump();
     }
 }
--- a/components/forward/src/updates.rs
+++ b/components/forward/src/updates.rs
@@ -40,11 +40,11 @@
 
 /// The work that other nodes reported.
 #[derive(Default)]
-pub(crate) struct Received {
+pub(crate) struct WorkReports {
     nodes: RefCell<HashMap<String, (Instant, Work)>>,
 }
 
-impl Received {
+impl WorkReports {
     fn note(&self, name: &str, work: Work, now: Instant) {
         let mut nodes = self.nodes.borrow_mut();
         nodes.retain(|_, (at, _)| now < *at + COUNTS_FOR);
@@ -62,7 +62,7 @@
 }
 
 /// A client of peers.
-pub(crate) fn client() -> awc::Client {
+pub(crate) fn peer_client() -> awc::Client {
     let connector = awc::Connector::new().timeout(CONNECT);
     awc::Client::builder().connector(connector).disable_timeout().disable_redirects().finish()
 }
@@ -133,8 +133,8 @@
         return status(StatusCode::OK);
     }
     match ask.address {
-        Some(address) if state.is_seed() => state.callers.note(address),
-        _ => state.callers.delegated(now),
+        Some(address) if state.is_seed() => state.callers.add_candidate(address),
+        _ => state.callers.record_delegation(now),
     }
     if !loaded(&state, Duration::from_millis(ask.wait_ms.into())).await {
         return status(StatusCode::SERVICE_UNAVAILABLE);
