--- a/components/forward/src/follow.rs
+++ b/components/forward/src/follow.rs
@@ -25,7 +25,7 @@
 /// taken in together. Well under the time in which a leaving server must get no new work.
 const LEAST_INTERVAL: Duration = Duration::from_millis(700);
 /// A peer whose proof is older than this has lost the store: one that reads it has a proof of at most
-/// [`WAIT`] and [`proof::BLIND`], and the way.
+/// [`WAIT`] and [`proof::WATCH_BLIND_TAIL`], and the way.
 const PEERS: Duration = Duration::from_millis(2_600);
 /// How often seeds tell each other of work: it is averaged over seconds.
 const EXCHANGE: Duration = Duration::from_secs(1);
@@ -167,7 +167,7 @@
 /// the time to let pass before the next call.
 async fn store<S: Site>(state: &Rc<State<S>>, most: Option<usize>) -> Result<Duration, StoreError> {
     let asked = state.clock.awake();
-    let at = state.replica.borrow().at().filter(|_| !state.forgotten.take());
+    let at = state.replica.borrow().position().filter(|_| !state.forgotten.take());
     let Some(after) = at else {
         let Reading { value, at } = state.site.store.read(most).await?;
         state.roster.borrow_mut().answered(state.clock.now());
@@ -192,7 +192,7 @@
     let news = state.replica.borrow_mut().apply(value, at);
     take(state, news);
     let silent = !heard && waited >= WAIT;
-    confirm(state, if silent { proof::of_silence(asked, WAIT) } else { asked });
+    confirm(state, if silent { proof::from_quiet_watch(asked, WAIT) } else { asked });
     Ok(if silent { Duration::ZERO } else { LEAST_INTERVAL.saturating_sub(waited) })
 }
 
@@ -203,7 +203,7 @@
     peer: std::net::SocketAddr,
 ) -> Result<Duration, StoreError> {
     let asked = state.clock.awake();
-    let wait = match state.replica.borrow().at() {
+    let wait = match state.replica.borrow().position() {
         None => FIRST,
         // A delegate may have to read the store first.
         Some(_) if state.is_seed() && !state.node().seeds.contains(&peer) => FIRST,
@@ -239,7 +239,7 @@
     let Some(age) = update.age_ms.map(|age| Duration::from_millis(age.into())) else {
         return Err(StoreError::Down(format!("peer {peer} has no proof")));
     };
-    confirm(state, proof::of_peer(asked, Duration::from_millis(update.held_ms.into()), age));
+    confirm(state, proof::from_peer(asked, Duration::from_millis(update.held_ms.into()), age));
     if age > PEERS {
         log::debug!(peer:% = peer, age_ms = age.as_millis() as u64; "a peer's proof is old");
         return Err(StoreError::Lost(peer));
--- a/components/forward/src/proof.rs
+++ b/components/forward/src/proof.rs
@@ -1,27 +1,28 @@
-//! From when on an answer proves that nothing newer was published.
+//! Computes the time up to which an answer proves that nothing newer was published.
 //!
-//! A node serves those whose keys may be withdrawn only while its proof is young. An answer proves
-//! what was so when it was made, and a node can't tell when that was: it knows when it asked and when
-//! the answer came, and either side may have been suspended between. So a proof counts from the
-//! earliest time at which the answer can have been made.
+//! A node accepts API keys, which may be revoked, only while its proof is recent. An answer shows the
+//! state at the time at which it was made, and a node can't tell when that was: it knows when it asked
+//! and when the answer arrived, and either side may have been suspended in between. So a proof is dated
+//! to the earliest time at which the answer can have been made.
 //!
-//! All times are by the node's clock that counts suspension.
+//! All times are on the node's clock that also runs during suspension.
 
 use std::time::Duration;
 
-/// A store that is about to drop its history leaves its watches unanswered for a second while changes
-/// are made, and then cuts them. So a watch that heard nothing to its end is no proof for its last
-/// second, but it is one for all before, as it is longer than that second itself.
-pub(crate) const BLIND: Duration = Duration::from_millis(1_050);
+/// End of a watch in which it may miss a change. A store that is about to drop its history leaves its
+/// watches unanswered for a second while changes are made, and then closes them. So a watch that ended
+/// without a change proves nothing for its last second. It does for the time before, as it is longer than
+/// that second.
+pub(crate) const WATCH_BLIND_TAIL: Duration = Duration::from_millis(1_050);
 
-/// What a watch proves that was asked for at a time and heard nothing for all of its wait.
-pub(crate) fn of_silence(asked: Duration, wait: Duration) -> Duration {
-    asked + wait.saturating_sub(BLIND)
+/// Time proved by a watch that was sent at `asked` and ended after all of `wait` without a change.
+pub(crate) fn from_quiet_watch(asked: Duration, wait: Duration) -> Duration {
+    asked + wait.saturating_sub(WATCH_BLIND_TAIL)
 }
 
-/// What the answer of a peer proves that held the question for some time and whose own proof had an
-/// age when it answered.
-pub(crate) fn of_peer(asked: Duration, held: Duration, age: Duration) -> Duration {
+/// Time proved by a peer that was asked at `asked`, answered after it had kept the question for `held`,
+/// and whose own proof had the given age when it answered.
+pub(crate) fn from_peer(asked: Duration, held: Duration, age: Duration) -> Duration {
     (asked + held).saturating_sub(age)
 }
 
--- a/components/forward/src/replica.rs
+++ b/components/forward/src/replica.rs
@@ -1,4 +1,4 @@
-//! What the store holds, as far as this node knows, for itself and for peers that ask.
+//! Keeps a copy of the store's items, as far as this node has received them, for itself and for peers.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -6,114 +6,118 @@
 
 use crate::site::Item;
 
-/// Deletions that are remembered. A peer that knows less than the oldest of them is told all.
-const DELETED: usize = 1_000;
+/// Number of deletions that are remembered. A peer whose position is older than these is sent everything.
+const MAX_DELETIONS: usize = 1_000;
 
-/// Items that changed since all of them were packed, from which on they are packed anew.
-const CHANGED: usize = 100;
+/// Number of items that may have changed since the base was packed before it is packed again.
+const MAX_CHANGES_SINCE_BASE: usize = 100;
 
-/// Positions from which changes are kept packed.
-const POSITIONS: usize = 16;
+/// Number of positions for which packed changes are kept.
+const MAX_PACKED_POSITIONS: usize = 16;
 
-/// A copy of the store's items. Nothing in it ever goes back: of two versions of an item the one
-/// with the higher revision stays, in whatever order they come and from whomever.
+/// A copy of the store's items. An item is never replaced by an older version: the one with the highest
+/// revision stays, in whatever order versions arrive and whoever sends them.
 #[derive(Debug, Default)]
 pub(crate) struct Replica {
     items: BTreeMap<String, Item>,
-    at: Option<u64>,
+    position: Option<u64>,
     /// Deletions before this position aren't known.
     floor: u64,
-    /// All items, packed for those who know nothing. Where a fleet starts, hundreds ask at once.
+    /// All items, packed for peers that have none: hundreds ask at once when a fleet starts.
     base: Option<Base>,
-    /// What changed since a position, packed. All who were told at once ask from the same one.
-    changes: HashMap<u64, Items>,
+    /// Changes since a position, packed. Peers that received the last change at the same time ask from
+    /// the same position.
+    packed_changes: HashMap<u64, Items>,
 }
 
 impl Replica {
-    /// Position in the store's history up to which all is known; none before the first read.
-    pub(crate) fn at(&self) -> Option<u64> {
-        self.at
+    /// Position in the store's history up to which all changes are contained; none before the first read.
+    pub(crate) fn position(&self) -> Option<u64> {
+        self.position
     }
 
-    /// Takes changes in, all of them up to a position; returns those that were news.
-    pub(crate) fn apply(&mut self, items: Vec<Item>, at: u64) -> Vec<Item> {
-        let mut news = vec![];
+    /// Applies all changes up to a position; returns those that were new.
+    pub(crate) fn apply(&mut self, items: Vec<Item>, position: u64) -> Vec<Item> {
+        let mut updates = vec![];
         for item in items {
-            let known = self.items.get(&item.key).map(|held| held.revision);
+            let known = self.items.get(&item.key).map(|current| current.revision);
             if known.is_some_and(|known| known >= item.revision) {
                 continue;
             }
-            self.changes.clear();
+            self.packed_changes.clear();
             self.items.insert(item.key.clone(), item.clone());
-            news.push(item);
+            updates.push(item);
         }
-        self.at = self.at.max(Some(at));
-        self.forget();
-        news
+        self.position = self.position.max(Some(position));
+        self.forget_oldest_deletions();
+        updates
     }
 
-    /// Takes in all that there is at a position; what isn't among it was deleted. Returns the news.
-    pub(crate) fn replace(&mut self, items: Vec<Item>, at: u64) -> Vec<Item> {
-        let gone = |held: &&Item| {
-            held.value.is_some()
-                && held.revision < at
-                && !items.iter().any(|item| item.key == held.key)
+    /// Applies the complete list of items at a position: items that aren't in it were deleted. Returns the
+    /// changes that were new.
+    pub(crate) fn replace(&mut self, items: Vec<Item>, position: u64) -> Vec<Item> {
+        let missing = |current: &&Item| {
+            current.value.is_some()
+                && current.revision < position
+                && !items.iter().any(|item| item.key == current.key)
         };
-        let deleted = |held: &Item| Item { key: held.key.clone(), revision: at, value: None };
-        let deleted: Vec<_> = self.items.values().filter(gone).map(deleted).collect();
-        if self.at.is_none() {
-            self.floor = at;
+        let deletion =
+            |current: &Item| Item { key: current.key.clone(), revision: position, value: None };
+        let deletions: Vec<_> = self.items.values().filter(missing).map(deletion).collect();
+        if self.position.is_none() {
+            self.floor = position;
         }
-        let mut news = self.apply(deleted, at);
-        news.extend(self.apply(items, at));
-        news
+        let mut updates = self.apply(deletions, position);
+        updates.extend(self.apply(items, position));
+        updates
     }
 
-    /// What changed after a position; none if too little is known of what was deleted since.
-    pub(crate) fn since(&mut self, position: u64) -> Option<Items> {
+    /// Changes after a position; none if deletions after it have been forgotten.
+    pub(crate) fn changes_since(&mut self, position: u64) -> Option<Items> {
         if position < self.floor {
             return None;
         }
-        if let Some(items) = self.changes.get(&position) {
+        if let Some(items) = self.packed_changes.get(&position) {
             return Some(items.clone());
         }
-        let newer: Vec<_> = self.newer(position).cloned().collect();
+        let newer: Vec<_> = self.items_after(position).cloned().collect();
         let items = Items::pack(&newer);
-        if self.changes.len() >= POSITIONS {
-            self.changes.clear();
+        if self.packed_changes.len() >= MAX_PACKED_POSITIONS {
+            self.packed_changes.clear();
         }
-        self.changes.insert(position, items.clone());
+        self.packed_changes.insert(position, items.clone());
         Some(items)
     }
 
-    fn newer(&self, position: u64) -> impl Iterator<Item = &Item> {
+    fn items_after(&self, position: u64) -> impl Iterator<Item = &Item> {
         self.items.values().filter(move |item| item.revision > position)
     }
 
-    /// All that there is, and what changed since it was packed.
-    pub(crate) fn all(&mut self) -> (Base, Items) {
-        let near = |base: &&Base| self.newer(base.at).count() <= CHANGED;
-        if let Some(base) = self.base.as_ref().filter(near).cloned()
-            && let Some(newer) = self.since(base.at)
+    /// All items as a packed base, and the changes since it was packed.
+    pub(crate) fn snapshot(&mut self) -> (Base, Items) {
+        let recent = |base: &&Base| self.items_after(base.at).count() <= MAX_CHANGES_SINCE_BASE;
+        if let Some(base) = self.base.as_ref().filter(recent).cloned()
+            && let Some(newer) = self.changes_since(base.at)
         {
             return (base, newer);
         }
         let live: Vec<_> =
             self.items.values().filter(|item| item.value.is_some()).cloned().collect();
-        let base = Base { at: self.at.unwrap_or_default(), items: Items::pack(&live) };
+        let base = Base { at: self.position.unwrap_or_default(), items: Items::pack(&live) };
         self.base = Some(base.clone());
         (base, Items::default())
     }
 
-    /// Forgets the oldest deletions.
-    fn forget(&mut self) {
-        let deleted = self.items.values().filter(|item| item.value.is_none());
-        let mut revisions: Vec<_> = deleted.map(|item| item.revision).collect();
-        let Some(over) = revisions.len().checked_sub(DELETED).filter(|over| *over > 0) else {
+    /// Forgets the oldest deletions beyond [`MAX_DELETIONS`].
+    fn forget_oldest_deletions(&mut self) {
+        let deletions = self.items.values().filter(|item| item.value.is_none());
+        let mut revisions: Vec<_> = deletions.map(|item| item.revision).collect();
+        let Some(excess) = revisions.len().checked_sub(MAX_DELETIONS).filter(|excess| *excess > 0)
+        else {
             return;
         };
         revisions.sort_unstable();
-        let last = revisions[over - 1];
+        let last = revisions[excess - 1];
         self.items.retain(|_, item| item.value.is_some() || item.revision > last);
         self.floor = self.floor.max(last);
     }
--- a/components/forward/src/updates.rs
+++ b/components/forward/src/updates.rs
@@ -76,7 +76,7 @@
     let ask = UpdateRequest {
         from: state.node().name.clone(),
         address: Some(state.node().peers),
-        position: state.replica.borrow().at(),
+        position: state.replica.borrow().position(),
         wait_ms: wait.as_millis() as u32,
         work: state.own_work(),
     };
@@ -167,21 +167,21 @@
 /// Answers once there is an update, or a younger proof that there is none.
 async fn tell_updates<S: Site>(state: &State<S>, ask: &UpdateRequest) -> Answer {
     let asked = state.clock.awake();
-    let update = || state.replica.borrow().at() > ask.position;
+    let update = || state.replica.borrow().position() > ask.position;
     if ask.position.is_some() && !update() {
         let wait = Duration::from_millis(ask.wait_ms.into());
         let _ = tokio::time::timeout(wait, learned(state)).await;
     }
     let (base, items) = match ask.position {
-        Some(position) => (None, state.replica.borrow_mut().since(position)),
+        Some(position) => (None, state.replica.borrow_mut().changes_since(position)),
         None => {
-            let (base, newer) = state.replica.borrow_mut().all();
+            let (base, newer) = state.replica.borrow_mut().snapshot();
             (Some(base), Some(newer))
         }
     };
     let now = state.clock.now();
     let update = Update {
-        at: state.replica.borrow().at().unwrap_or_default(),
+        at: state.replica.borrow().position().unwrap_or_default(),
         base,
         unknown: items.is_none(),
         items: items.unwrap_or_default(),
