--- a/components/forward/src/crossing.rs
+++ b/components/forward/src/crossing.rs
@@ -1,28 +1,30 @@
-//! Whether sessions have one home over all regions, or one in each.
+//! Decides whether a session's preferred engine may be in another region than its caller.
 //!
-//! Pattern: sessions with long beginnings, callers in two regions and a narrow link between. One home
-//! for a session spares the reading of its beginning in the other region, and half of its requests
-//! cross the link. At a small site that is a fifth of what the link bears; at forty times the traffic
-//! it is several times as much, and all that crosses, settings too, is late by seconds.
+//! Load pattern: sessions with long prefixes, callers in two regions and a narrow link between them. With one
+//! preferred engine per session over both regions, the prefix isn't prefilled in the other region as well, but
+//! half of the session's requests cross the link. At a small site these take a fifth of the link's capacity. At
+//! forty times the traffic they exceed it several times over, and everything that crosses, settings
+//! included, is delayed by seconds. Then each region needs a preferred engine of its own.
 //!
-//! How wide the link is, nobody says. What decides is the sum over all nodes, which each of them hears
-//! from its seed, so that they decide alike.
+//! The settings don't say how wide the link is. The decision depends on the sum over all nodes, which each node
+//! receives from its seed, so all nodes decide alike.
 
 use std::cell::{Cell, RefCell};
 use std::time::{Duration, Instant};
 
-/// A rate counts half after this.
-const HALF: Duration = Duration::from_secs(4);
-/// Requests to engines, in KiB a second over all nodes, above which homes don't cross regions. A
-/// fourth of them goes each way: 5 MB/s, of the 4 to 8 that the users' links bear each way.
-const MOST: u32 = 20 << 10;
-/// Below this they do again; far enough under it that a burst doesn't move homes to and fro.
-const LEAST: u32 = 8 << 10;
+/// Half-life of the bytes that are counted for the rate.
+const HALF_LIFE: Duration = Duration::from_secs(4);
+/// Requests to engines, in KiB/s over all nodes, above which affinity stays within regions. A quarter of
+/// them crosses the link in each direction, which is 5 MB/s; the users' links carry 4 to 8 MB/s in each direction.
+const MAX_KIB_PER_S: u32 = 20 << 10;
+/// Rate in KiB/s below which affinity spans regions again. It is far below [`MAX_KIB_PER_S`], so that a
+/// burst doesn't move sessions between engines back and forth.
+const RESUME_KIB_PER_S: u32 = 8 << 10;
 
-/// What one node sends to engines, and whether homes may cross.
+/// Rate at which this node sends requests to engines, and whether affinity may span regions.
 #[derive(Debug)]
 pub(crate) struct Crossing {
-    /// Bytes of late, fading, and when they were last counted.
+    /// Exponentially decaying sum of the bytes sent, and when it was last updated.
     bytes: RefCell<(f64, Instant)>,
     allowed: Cell<bool>,
 }
@@ -32,30 +34,34 @@
         Crossing { bytes: RefCell::new((0.0, now)), allowed: Cell::new(true) }
     }
 
-    /// Counts a request to an engine.
+    /// Counts the bytes of a request to an engine.
     pub(crate) fn record_sent(&self, bytes: usize, now: Instant) {
-        let held = self.faded(now);
-        *self.bytes.borrow_mut() = (held + bytes as f64, now);
+        let recent = self.decayed_bytes(now);
+        *self.bytes.borrow_mut() = (recent + bytes as f64, now);
     }
 
-    fn faded(&self, now: Instant) -> f64 {
+    fn decayed_bytes(&self, now: Instant) -> f64 {
         let (bytes, at) = *self.bytes.borrow();
-        let age = now.saturating_duration_since(at).as_secs_f64() / HALF.as_secs_f64();
-        bytes * (-age).exp2()
+        let half_lives = now.saturating_duration_since(at).as_secs_f64() / HALF_LIFE.as_secs_f64();
+        bytes * (-half_lives).exp2()
     }
 
-    /// Bytes of this node, in KiB a second.
+    /// Bytes that this node sends to engines, in KiB/s.
     pub(crate) fn kib_per_s(&self, now: Instant) -> u32 {
-        // A steady rate has this many seconds of it in the fading sum.
-        let seconds = HALF.as_secs_f64() / std::f64::consts::LN_2;
-        (self.faded(now) / seconds / 1_024.0) as u32
+        // At a steady rate the decaying sum contains the bytes of this many seconds.
+        let seconds = HALF_LIFE.as_secs_f64() / std::f64::consts::LN_2;
+        (self.decayed_bytes(now) / seconds / 1_024.0) as u32
     }
 
-    /// Takes in the rate of all nodes; returns whether homes may cross regions.
+    /// Updates the decision from the rate of all nodes; returns whether affinity may span regions.
     pub(crate) fn update_allowed(&self, kib_per_s: u32) -> bool {
-        let allowed = if self.allowed.get() { kib_per_s <= MOST } else { kib_per_s < LEAST };
+        let allowed = if self.allowed.get() {
+            kib_per_s <= MAX_KIB_PER_S
+        } else {
+            kib_per_s < RESUME_KIB_PER_S
+        };
         if self.allowed.replace(allowed) != allowed {
-            log::info!(allowed = allowed, kib_per_s = kib_per_s; "homes across regions");
+            log::info!(allowed = allowed, kib_per_s = kib_per_s; "session affinity across regions changed");
         }
         allowed
     }
--- a/components/forward/src/crossing/tests.rs
+++ b/components/forward/src/crossing/tests.rs
@@ -1,23 +1,23 @@
 use std::time::{Duration, Instant};
 
-use super::{Crossing, LEAST, MOST};
+use super::{Crossing, MAX_KIB_PER_S, RESUME_KIB_PER_S};
 
-/// Traffic grows to many times what a link bears. Homes stay in their regions then, and don't move
-/// back with the first lull.
+/// Guards against a link between regions that is overloaded as traffic grows, and against sessions that move
+/// between engines back and forth: affinity stays within regions until the rate is well below the limit.
 #[test]
-fn homes_stay_in_their_region_above_what_a_link_bears() {
+fn affinity_stays_within_regions_above_the_rate_of_a_link() {
     let crossing = Crossing::new(Instant::now());
-    assert!(crossing.update_allowed(MOST));
-    assert!(!crossing.update_allowed(MOST + 1));
-    assert!(!crossing.update_allowed(LEAST));
-    assert!(crossing.update_allowed(LEAST - 1));
-    assert!(crossing.update_allowed(MOST));
+    assert!(crossing.update_allowed(MAX_KIB_PER_S));
+    assert!(!crossing.update_allowed(MAX_KIB_PER_S + 1));
+    assert!(!crossing.update_allowed(RESUME_KIB_PER_S));
+    assert!(crossing.update_allowed(RESUME_KIB_PER_S - 1));
+    assert!(crossing.update_allowed(MAX_KIB_PER_S));
 }
 
-/// A node sends a hundred requests of 18 KiB a second. What it tells of is about that, and nothing
-/// once it has stopped.
+/// A node sends a hundred requests of 18 KiB a second. It reports about that rate, and next to nothing once
+/// it has stopped.
 #[test]
-fn a_rate_is_told_as_it_is() {
+fn the_reported_rate_follows_the_requests() {
     let mut now = Instant::now();
     let crossing = Crossing::new(now);
     for _ in 0..4_000 {
--- a/components/forward/src/follow.rs
+++ b/components/forward/src/follow.rs
@@ -1,4 +1,4 @@
-//! Follows what is published: what is in force, and which backend servers there are.
+//! Keeps this node's copy of the published settings and backend servers up to date, from the store or a peer.
 
 use std::rc::{Rc, Weak};
 use std::time::Duration;
@@ -8,116 +8,122 @@
 
 use crate::mechanism::Mechanism;
 use crate::site::{Event, Item, Reading, Site, Store, StoreError, Watched};
-use crate::source::{Duty, Failure, Source};
+use crate::source::{Context, Failure, Source};
 use crate::state::State;
 use crate::{proof, updates};
 
-/// How long a watch waits for a change. Each answer proves anew that nothing newer is in force, and
-/// each call is paid for; but the younger the proof when the store goes away, the longer a node can
-/// serve without it. With this, nearly all nodes serve for the first three seconds of an outage.
+/// How long a watch waits for a change. Each answer renews the proof that nothing newer is in force, and
+/// each call is paid for. The younger the proof is when contact with the store is lost, the longer a node can
+/// serve without it: with this wait, nearly all nodes serve for the first three seconds of an outage.
 const WAIT: Duration = Duration::from_millis(1_200);
-/// The same at a peer for one that knows nothing yet. A peer that has just started itself has read
-/// thousands of servers by then.
-const FIRST: Duration = Duration::from_millis(600);
-/// The same after a failure, so that a node which was lost for a moment is soon ready again.
-const PROBE: Duration = Duration::from_millis(100);
-/// Time from one watch to the next at least, so that changes which come in quick succession are
-/// taken in together. Well under the time in which a leaving server must get no new work.
-const LEAST_INTERVAL: Duration = Duration::from_millis(700);
-/// A peer whose proof is older than this has lost the store: one that reads it has a proof of at most
-/// [`WAIT`] and [`proof::WATCH_BLIND_TAIL`], and the way.
-const PEERS: Duration = Duration::from_millis(2_600);
-/// How often seeds tell each other of work: it is averaged over seconds.
-const EXCHANGE: Duration = Duration::from_secs(1);
-/// Pause of a node that starts, once no seed could be asked.
-const STARTS: Duration = Duration::from_millis(40);
-/// First pause after all sources failed; doubled by each time.
-const PAUSE: Duration = Duration::from_millis(100);
-/// Longest pause, so that a store which is back is found within half a second.
-const LONGEST: Duration = Duration::from_millis(500);
+/// Wait at a peer for a node that has nothing yet, or at a delegate. Within it, a peer that has just started
+/// itself has read thousands of servers.
+const FIRST_WAIT: Duration = Duration::from_millis(600);
+/// Wait after a failure, so that a node which lost contact for a moment is soon ready again.
+const PROBE_WAIT: Duration = Duration::from_millis(100);
+/// Shortest time between the beginnings of two watches, so that changes in quick succession are received
+/// together. Well under the time in which a leaving server must stop getting new work.
+const MIN_WATCH_INTERVAL: Duration = Duration::from_millis(700);
+/// Age of its proof from which on a peer counts as having lost contact with the store. The proof of a peer that
+/// reads the store is at most as old as [`WAIT`], [`proof::WATCH_BLIND_TAIL`] and the network delay together.
+const MAX_PEER_PROOF_AGE: Duration = Duration::from_millis(2_600);
+/// Interval at which seeds report work to each other. Work is averaged over seconds.
+const WORK_INTERVAL: Duration = Duration::from_secs(1);
+/// Pause of a starting node after no source has answered.
+const STARTUP_PAUSE: Duration = Duration::from_millis(40);
+/// First pause after all sources have failed; doubled each time.
+const MIN_PAUSE: Duration = Duration::from_millis(100);
+/// Longest pause after all sources have failed, so that a store which is back is found within half a second.
+const MAX_PAUSE: Duration = Duration::from_millis(500);
 
 /// Starts the tasks; they end with the node.
 pub(crate) fn start<S: Site>(state: &Rc<State<S>>) {
-    actix_rt::spawn(follow(Rc::downgrade(state)));
+    actix_rt::spawn(follow_sources(Rc::downgrade(state)));
     for seed in state.exchanged() {
-        actix_rt::spawn(exchange(Rc::downgrade(state), seed));
+        actix_rt::spawn(exchange_work(Rc::downgrade(state), seed));
     }
 }
 
-async fn follow<S: Site>(weak: Weak<State<S>>) {
+/// Asks one source after the other for as long as the node runs.
+async fn follow_sources<S: Site>(weak: Weak<State<S>>) {
     let Some(mut sources) = weak.upgrade().map(|state| state.sources()) else { return };
-    let mut rounds = 0;
+    let mut failed_rounds = 0;
     loop {
         let Some(state) = weak.upgrade() else { return };
-        let duty = duty(&state);
-        let source = sources.now(duty, state.clock.now());
-        let most = sources.most(state.clock.now());
+        let context = source_context(&state);
+        let source = sources.select(context, state.clock.now());
+        let list_limit = sources.list_limit(state.clock.now());
         if source == Source::Store {
-            doubt_what_is_missing(&state);
+            doubt_missing_servers(&state);
         }
-        let step = expiring(&state, async {
+        let step = expire_servers_during(&state, async {
             match source {
-                Source::Store => store(&state, most).await,
-                Source::Peer(peer) => self::peer(&state, peer).await,
+                Source::Store => ask_store(&state, list_limit).await,
+                Source::Peer(peer) => ask_peer(&state, peer).await,
             }
         });
         let step = step.await;
         match step {
-            Ok(space) => {
-                answered(&state, source);
-                sources.answered();
-                rounds = 0;
-                tokio::time::sleep(space).await;
+            Ok(pause) => {
+                record_answer(&state, source);
+                sources.record_success();
+                failed_rounds = 0;
+                tokio::time::sleep(pause).await;
             }
             Err(StoreError::Long(bytes)) => {
-                log::info!(bytes = bytes; "the list of servers is long; seeds are asked for it");
-                sources.found_long();
+                log::info!(bytes = bytes; "the list of servers is long; asking seeds for it");
+                sources.record_long_list();
             }
             Err(cause) => {
-                if !sources.probes() {
-                    failed(&state, source, &cause);
+                if !sources.is_probing_first() {
+                    record_failure(&state, source, &cause);
                 }
                 sources.set_delegate(state.callers.pick_candidate());
-                if sources.failed(failure(&cause), duty, state.clock.now()) {
-                    rounds += 1;
-                    let pause = if sources.starting() { jittered(STARTS) } else { pause(rounds) };
+                if sources.record_failure(classify_failure(&cause), context, state.clock.now()) {
+                    failed_rounds += 1;
+                    let pause = if sources.is_starting() {
+                        jittered(STARTUP_PAUSE)
+                    } else {
+                        pause_after(failed_rounds)
+                    };
                     tokio::time::sleep(pause).await;
                 }
             }
         }
-        expire(&state);
+        expire_servers(&state);
     }
 }
 
-/// Drops servers that are missing as soon as they had their time to come back, also while a step goes
-/// on: a watch may wait for longer than a server that left may go on getting work.
-async fn expiring<S: Site, T>(state: &State<S>, step: impl Future<Output = T>) -> T {
+/// Runs a step, and meanwhile drops missing servers as soon as their time to be listed again is over: a watch
+/// may wait for longer than a server that has left may go on getting work.
+async fn expire_servers_during<S: Site, T>(state: &State<S>, step: impl Future<Output = T>) -> T {
     let mut step = std::pin::pin!(step);
     loop {
         let left = state.roster.borrow().left(state.clock.now());
         let Some(left) = left else { return step.await };
         match tokio::time::timeout(left, &mut step).await {
             Ok(done) => return done,
-            Err(_) => expire(state),
+            Err(_) => expire_servers(state),
         }
     }
 }
 
-fn expire<S: Site>(state: &State<S>) {
+/// Drops missing servers whose time to be listed again is over.
+fn expire_servers<S: Site>(state: &State<S>) {
     let gone = state.roster.borrow_mut().expire(state.clock.now());
     state.changed(gone);
 }
 
-/// A node whose seeds have lost the store, and that now reads it itself for them, can't tell whether it was
-/// away: entries that are missing may only have lapsed.
-fn doubt_what_is_missing<S: Site>(state: &State<S>) {
-    let unseen = state.seeds_lost.get() && state.by_peer.get();
-    if unseen && state.without.has(Mechanism::Doubt) {
+/// Keeps missing servers for a while when this node turns to the store because its seeds have lost contact with
+/// it. The node can't tell whether the store was down, in which case their entries may only have expired.
+fn doubt_missing_servers<S: Site>(state: &State<S>) {
+    let unobserved = state.seeds_lost.get() && state.by_peer.get();
+    if unobserved && state.without.has(Mechanism::Doubt) {
         state.roster.borrow_mut().away();
     }
 }
 
-fn answered<S: Site>(state: &State<S>, source: Source) {
+fn record_answer<S: Site>(state: &State<S>, source: Source) {
     state.by_peer.set(source != Source::Store);
     state.seeds_lost.set(false);
     let failures = state.failures.take();
@@ -126,7 +132,7 @@
     }
 }
 
-fn failed<S: Site>(state: &State<S>, source: Source, cause: &StoreError) {
+fn record_failure<S: Site>(state: &State<S>, source: Source, cause: &StoreError) {
     if source == Source::Store && state.without.has(Mechanism::Doubt) {
         state.roster.borrow_mut().away();
     }
@@ -142,82 +148,91 @@
     }
 }
 
-fn pause(rounds: u32) -> Duration {
-    jittered((PAUSE * (1 << rounds.min(4))).min(LONGEST))
+/// The pause after so many rounds in which all sources failed.
+fn pause_after(rounds: u32) -> Duration {
+    jittered((MIN_PAUSE * (1 << rounds.min(4))).min(MAX_PAUSE))
 }
 
 fn jittered(pause: Duration) -> Duration {
     pause.mul_f64(rand::rng().random_range(0.5..1.0))
 }
 
-fn duty<S: Site>(state: &State<S>) -> Duty {
-    let delegated = state.callers.is_delegate(state.clock.now());
-    Duty { delegated, nodes: state.fleet_nodes.get() }
+fn source_context<S: Site>(state: &State<S>) -> Context {
+    let is_delegate = state.callers.is_delegate(state.clock.now());
+    Context { is_delegate, fleet_nodes: state.fleet_nodes.get() }
 }
 
-fn failure(cause: &StoreError) -> Failure {
+fn classify_failure(cause: &StoreError) -> Failure {
     match cause {
         StoreError::Refused(_) => Failure::Refused,
-        StoreError::Lost(_) => Failure::Lost,
+        StoreError::Lost(_) => Failure::StoreLost,
         _ => Failure::Down,
     }
 }
 
-/// Reads the store, unless what it lists is longer than `most` bytes, or waits there for changes; returns
-/// the time to let pass before the next call.
-async fn store<S: Site>(state: &Rc<State<S>>, most: Option<usize>) -> Result<Duration, StoreError> {
+/// Asks the store: reads everything if this node has nothing yet, unless the list of servers is longer than
+/// `list_limit` bytes; else watches for changes. Returns the pause before the next call.
+async fn ask_store<S: Site>(
+    state: &Rc<State<S>>,
+    list_limit: Option<usize>,
+) -> Result<Duration, StoreError> {
     let asked = state.clock.awake();
-    let at = state.replica.borrow().position().filter(|_| !state.forgotten.take());
-    let Some(after) = at else {
-        let Reading { value, at } = state.site.store.read(most).await?;
+    let position = state.replica.borrow().position().filter(|_| !state.forgotten.take());
+    let Some(after) = position else {
+        let Reading { value, at } = state.site.store.read(list_limit).await?;
         state.roster.borrow_mut().answered(state.clock.now());
-        let news = state.replica.borrow_mut().replace(value, at);
-        take(state, news);
-        confirm(state, asked);
+        let updates = state.replica.borrow_mut().replace(value, at);
+        apply_items(state, updates);
+        confirm_freshness(state, asked);
         state.loaded.set(true);
         return Ok(Duration::ZERO);
     };
-    let wait = if state.failures.get() > 0 { PROBE } else { WAIT };
+    let wait = if state.failures.get() > 0 { PROBE_WAIT } else { WAIT };
     let Reading { value, at } = match state.site.store.watch(after, wait).await? {
         Watched::Changes(reading) => reading,
         Watched::Forgotten => {
-            log::info!(after = after; "the store forgot its history; all is read again");
+            log::info!(
+                after = after;
+                "the store no longer has its history after this position; reading everything again"
+            );
             state.forgotten.set(true);
             return Ok(Duration::ZERO);
         }
     };
     state.roster.borrow_mut().answered(state.clock.now());
     let waited = state.clock.awake().saturating_sub(asked);
-    let heard = !value.is_empty();
-    let news = state.replica.borrow_mut().apply(value, at);
-    take(state, news);
-    let silent = !heard && waited >= WAIT;
-    confirm(state, if silent { proof::from_quiet_watch(asked, WAIT) } else { asked });
-    Ok(if silent { Duration::ZERO } else { LEAST_INTERVAL.saturating_sub(waited) })
+    let has_changes = !value.is_empty();
+    let updates = state.replica.borrow_mut().apply(value, at);
+    apply_items(state, updates);
+    let quiet = !has_changes && waited >= WAIT;
+    confirm_freshness(state, if quiet { proof::from_quiet_watch(asked, WAIT) } else { asked });
+    Ok(if quiet { Duration::ZERO } else { MIN_WATCH_INTERVAL.saturating_sub(waited) })
 }
 
-/// Asks a peer that reads the store. Its proof is as old as it says, counted from when the answer was
-/// made, which is no earlier than the question and the time for which it was held.
-async fn peer<S: Site>(
+/// Asks a peer for changes; returns the pause before the next call. The age of the peer's proof is counted
+/// from when the answer was made, which is no earlier than the question and the time for which the peer kept it.
+async fn ask_peer<S: Site>(
     state: &Rc<State<S>>,
     peer: std::net::SocketAddr,
 ) -> Result<Duration, StoreError> {
     let asked = state.clock.awake();
     let wait = match state.replica.borrow().position() {
-        None => FIRST,
+        None => FIRST_WAIT,
         // A delegate may have to read the store first.
-        Some(_) if state.is_seed() && !state.node().seeds.contains(&peer) => FIRST,
-        Some(_) if state.failures.get() > 0 => PROBE,
+        Some(_) if state.is_seed() && !state.node().seeds.contains(&peer) => FIRST_WAIT,
+        Some(_) if state.failures.get() > 0 => PROBE_WAIT,
         Some(_) => WAIT,
     };
-    let update = updates::ask(state, peer, wait).await?;
+    let update = updates::request_update(state, peer, wait).await?;
     let now = state.clock.now();
     if update.lost {
-        // The store may be well, and only this peer cut off from it; others will tell.
+        // Only this peer may be cut off from the store; the next source shows whether others are as well.
         return Err(StoreError::Lost(peer));
     }
     if update.unknown {
-        return Err(StoreError::Down(format!("peer {peer} knows too little of what changed")));
+        return Err(StoreError::Down(format!(
+            "peer {peer} no longer knows all changes after this node's position"
+        )));
     }
     match update.returned_ms.map(|ago| Duration::from_millis(ago.into())) {
         Some(ago) if state.without.has(Mechanism::Doubt) => {
@@ -231,38 +246,47 @@
     if let Some(base) = update.base {
         let all = base.items.unpack().map_err(garbled)?;
         let items = state.replica.borrow_mut().replace(all, base.at);
-        take(state, items);
+        apply_items(state, items);
     }
     let items = state.replica.borrow_mut().apply(changes, update.at);
-    take(state, items);
+    apply_items(state, items);
     state.loaded.set(true);
     let Some(age) = update.age_ms.map(|age| Duration::from_millis(age.into())) else {
-        return Err(StoreError::Down(format!("peer {peer} has no proof")));
+        return Err(StoreError::Down(format!(
+            "peer {peer} has no proof that its settings are the newest"
+        )));
     };
-    confirm(state, proof::from_peer(asked, Duration::from_millis(update.held_ms.into()), age));
-    if age > PEERS {
-        log::debug!(peer:% = peer, age_ms = age.as_millis() as u64; "a peer's proof is old");
+    confirm_freshness(
+        state,
+        proof::from_peer(asked, Duration::from_millis(update.held_ms.into()), age),
+    );
+    if age > MAX_PEER_PROOF_AGE {
+        log::debug!(
+            peer:% = peer, age_ms = age.as_millis() as u64;
+            "the peer's proof is too old; it has lost contact with the store"
+        );
         return Err(StoreError::Lost(peer));
     }
     Ok(Duration::ZERO)
 }
 
-/// What is held was the newest at that time, unless the newest can't be used.
-fn confirm<S: Site>(state: &State<S>, at: Duration) {
+/// Records that the settings of this node were the newest at a time, unless the newest revision can't be used.
+fn confirm_freshness<S: Site>(state: &State<S>, at: Duration) {
     if !state.unusable.get() {
         state.freshness.borrow_mut().confirm(at);
     }
     state.told.notify_waiters();
 }
 
-fn take<S: Site>(state: &State<S>, items: Vec<Item>) {
+/// Puts changed settings and servers into force.
+fn apply_items<S: Site>(state: &State<S>, items: Vec<Item>) {
     for item in items {
         match state.site.store.decode(&item) {
             Some(Event::Settings(book)) => state.accept(book),
             Some(Event::Unusable(cause)) => {
                 log::error!(
                     cause = cause.as_str();
-                    "a revision can't be used; the last good one stays in force"
+                    "a revision of the settings can't be used; the last usable one stays in force"
                 );
                 state.metrics.settings.event("refused");
                 state.unusable.set(true);
@@ -276,15 +300,15 @@
     }
 }
 
-/// Nodes that read the store tell each other of the work that they heard of. A seed that takes none is
-/// told again the next time; nothing depends on it.
-async fn exchange<S: Site>(weak: Weak<State<S>>, seed: std::net::SocketAddr) {
+/// Reports to another seed the work that nodes have reported to this one, again and again. A failed report is
+/// only logged: the next one replaces it.
+async fn exchange_work<S: Site>(weak: Weak<State<S>>, seed: std::net::SocketAddr) {
     while let Some(state) = weak.upgrade() {
-        if let Err(cause) = updates::tell(&state, seed).await {
-            log::debug!(cause:% = cause; "a seed wasn't told of work");
+        if let Err(cause) = updates::report_work(&state, seed).await {
+            log::debug!(cause:% = cause; "failed to report work to a seed");
         }
         state.set_fleet(state.fleet_work());
         drop(state);
-        tokio::time::sleep(EXCHANGE).await;
+        tokio::time::sleep(WORK_INTERVAL).await;
     }
 }
--- a/components/forward/src/gossip.rs
+++ b/components/forward/src/gossip.rs
@@ -33,9 +33,9 @@
 use table::{Hub, Sent, View};
 
 /// Path at which nodes report to a seed.
-pub(crate) const NODES: &str = "/gossip";
+pub(crate) const NODE_PATH: &str = "/gossip";
 /// Path at which seeds ask each other.
-pub(crate) const SEEDS: &str = "/gossip/seeds";
+pub(crate) const SEED_PATH: &str = "/gossip/seeds";
 /// Time between two calls of a node at least: a long prompt takes an engine about as long to read.
 const PAUSE: Duration = Duration::from_millis(150);
 /// Time between two questions of a seed to another.
@@ -93,7 +93,7 @@
     while let Some(state) = weak.upgrade() {
         let asked = state.clock.now();
         let Some(seed) = seeds.nearest(asked) else {
-            crate::limits::alone(&state);
+            crate::limits::issue_without_seeds(&state);
             drop(state);
             tokio::time::sleep(PAUSE).await;
             continue;
@@ -105,7 +105,7 @@
         let report = own_report(&state, &mut sent, view.at());
         let report = suspects::report(&state, &mut suspicions, report);
         let report = limits::report(&state, &mut limited, report);
-        let answer = call(&state, seed, NODES, report).await;
+        let answer = call(&state, seed, NODE_PATH, report).await;
         let now = state.clock.now();
         let took = answer.as_ref().ok().map(|_| now.saturating_duration_since(asked));
         seeds.answered(seed, took, now);
@@ -115,7 +115,7 @@
                 take_parts(&state, &summary.parts);
                 suspects::answered(&state, &mut suspicions, &summary);
                 limits::answered(&state, &mut limited, &summary);
-                state.limits.answered(now);
+                state.limits.record_seed_answer(now);
                 view.apply(summary, now);
                 let (loads, sends) = sent.others(&view, now);
                 take(&state, &loads, &sends);
@@ -123,7 +123,7 @@
             }
             Err(cause) => {
                 log::debug!(cause = cause.as_str(); "a seed took no report");
-                crate::limits::alone(&state);
+                crate::limits::issue_without_seeds(&state);
                 PAUSE
             }
         };
@@ -147,7 +147,7 @@
         let (loads, sends) = sent.others(&view, now);
         take(&state, &loads, &sends);
         let permits = issue(&state);
-        crate::limits::permit(&state, &permits);
+        crate::limits::add_permits(&state, &permits);
         drop(state);
         tokio::time::sleep(PAUSE).await;
     }
@@ -162,7 +162,7 @@
         let report = Report { from: state.node().name.clone(), known, ..Report::default() };
         let report = suspects::report(&state, &mut suspicions, report);
         let report = limits::report(&state, &mut limited, report);
-        let answer = call(&state, seed, SEEDS, report).await;
+        let answer = call(&state, seed, SEED_PATH, report).await;
         let now = state.clock.now();
         match answer {
             Ok(summary) => {
@@ -196,7 +196,7 @@
 
 /// Answers a node or another seed.
 pub(crate) async fn handle<S: Site>(state: &Rc<State<S>>, mut request: Request) -> Answer {
-    let from_seed = request.path() == SEEDS;
+    let from_seed = request.path() == SEED_PATH;
     let body = match listen::whole(&mut request, LARGEST_REPORT).await {
         Ok(body) => body,
         Err(unread) => return unread.answer(),
--- a/components/forward/src/gossip/limits.rs
+++ b/components/forward/src/gossip/limits.rs
@@ -31,9 +31,9 @@
     let now = state.clock.now();
     cursor.answered(summary.at.boot, summary.limits_at);
     let before = state.limits.throttle.borrow().version();
-    limits::learn(state, summary.limits.iter().filter_map(|limit| from_wire(limit, now)));
+    limits::merge_reported(state, summary.limits.iter().filter_map(|limit| from_wire(limit, now)));
     cursor.learned(before, state.limits.throttle.borrow().version());
-    limits::permit(state, &summary.permits);
+    limits::add_permits(state, &summary.permits);
 }
 
 /// Takes in what a node or another seed reports, and adds to its answer what it may not know. Nodes get
@@ -46,7 +46,7 @@
     permits: Vec<(u32, u32)>,
 ) -> Summary {
     let now = state.clock.now();
-    limits::learn(state, reported.iter().filter_map(|limit| from_wire(limit, now)));
+    limits::merge_reported(state, reported.iter().filter_map(|limit| from_wire(limit, now)));
     let known = at.filter(|at| at.boot == summary.at.boot).map_or(0, |_| known);
     let (named, limits_at) = state.limits.throttle.borrow().since(known);
     Summary { limits: to_wire(&named, now), limits_at, permits, ..summary }
--- a/components/forward/src/limits.rs
+++ b/components/forward/src/limits.rs
@@ -1,6 +1,6 @@
-//! Rate limits that servers name in their answers: what this node knows of them, and its permits.
+//! Tracks the rate limits that backend servers name in their answers, and the permits of this node under them.
 //!
-//! Seeds hand out the permits (`gossip`). A node that no seed answers makes do with a small part of its own.
+//! Seeds issue the permits (`gossip`). A node that no seed answers issues itself a small part of each limit.
 
 use std::cell::{Cell, RefCell};
 use std::time::{Duration, Instant};
@@ -13,36 +13,37 @@
 use crate::site::{Limit, Site};
 use crate::state::State;
 
-/// Time without an answer of a seed after which a node goes by a part of its own.
-const ALONE: Duration = Duration::from_secs(2);
-/// Part of a limit that nodes without a seed use together at most, beside what seeds hand out.
-const ALONE_PART: f64 = 0.5;
-/// Nodes of a fleet whose size isn't known.
-const UNKNOWN_FLEET: u32 = 100;
+/// Time without an answer of a seed after which a node issues permits to itself.
+const SEED_TIMEOUT: Duration = Duration::from_secs(2);
+/// Part of a limit that all nodes without a seed use together at most, in addition to what seeds issue.
+const PART_WITHOUT_SEEDS: f64 = 0.5;
+/// Number of nodes assumed for a fleet of unknown size.
+const UNKNOWN_FLEET_NODES: u32 = 100;
 
-/// Limits that servers have named, and this node's part in keeping to them.
+/// The rate limits that servers have named, and this node's permits under them.
 #[derive(Debug, Default)]
 pub(crate) struct Limits {
     pub(crate) throttle: RefCell<Throttle>,
     issuer: RefCell<Issuer>,
-    /// When a seed answered last.
-    answered: Cell<Option<Instant>>,
+    /// When a seed last answered.
+    seed_answered: Cell<Option<Instant>>,
 }
 
 impl Limits {
-    /// A seed has answered, and hands out permits.
-    pub(crate) fn answered(&self, now: Instant) {
-        self.answered.set(Some(now));
+    /// Records that a seed has answered, and so issues permits to this node.
+    pub(crate) fn record_seed_answer(&self, now: Instant) {
+        self.seed_answered.set(Some(now));
     }
 
-    /// Permits that this node hands to one of `nodes` which come to it, as one of so many issuers.
+    /// Issues permits, by the key of the server's name, to one of the `nodes` that get theirs here, where
+    /// this node is one of so many equal issuers.
     pub(crate) fn issue(&self, issuers: f64, nodes: usize, now: Instant) -> Vec<(u32, u32)> {
         let throttle = self.throttle.borrow();
         self.issuer.borrow_mut().issue(throttle.all(), issuers, nodes, now)
     }
 }
 
-/// Takes in what the head of an answer says, to a request that was sent at a time.
+/// Records the limit in the head of an answer to a request that was sent at `sent`.
 pub(crate) fn record_answer<S: Site>(
     state: &State<S>,
     server: &Entry,
@@ -55,7 +56,10 @@
         Limit::Unnamed => None,
         Limit::Rate(rate) => Some(*rate),
         Limit::Unreadable(text) => {
-            log::warn!(server = server.name.as_str(), limit = text.as_str(); "a rate limit can't be read");
+            log::warn!(
+                server = server.name.as_str(), limit = text.as_str();
+                "ignoring a server's rate limit that can't be parsed"
+            );
             return;
         }
     };
@@ -67,34 +71,34 @@
     }
 }
 
-/// Takes in what other nodes know of servers that are listed.
-pub(crate) fn learn<S: Site>(state: &State<S>, named: impl Iterator<Item = Named>) {
+/// Merges the limits that other nodes report. Servers that aren't listed are left out.
+pub(crate) fn merge_reported<S: Site>(state: &State<S>, limits: impl Iterator<Item = Named>) {
     let before = state.limits.throttle.borrow().version();
-    for named in named.filter(|named| state.names.borrow().keyed(named.server).is_some()) {
-        state.limits.throttle.borrow_mut().learn(named);
+    for limit in limits.filter(|limit| state.names.borrow().keyed(limit.server).is_some()) {
+        state.limits.throttle.borrow_mut().learn(limit);
     }
     if state.limits.throttle.borrow().version() > before {
         apply_to_scheduler(state);
     }
 }
 
-/// Tells the decisions which servers have named a limit. Without the exchange between nodes there are no
-/// permits, so there is none for them either.
+/// Sets in the scheduler which servers have named a limit, and so need permits. Does nothing while gossip is
+/// disabled: without it no permits are issued, and the scheduler would never send these servers a request.
 pub(crate) fn apply_to_scheduler<S: Site>(state: &State<S>) {
     if !state.without.has(Mechanism::Loads) {
         return;
     }
     let names = state.names.borrow();
     let mut scheduler = state.turns.scheduler.borrow_mut();
-    for named in state.limits.throttle.borrow().all() {
-        if let Some(server) = names.keyed(named.server) {
-            scheduler.set_limited(server, named.rate.is_some());
+    for limit in state.limits.throttle.borrow().all() {
+        if let Some(server) = names.keyed(limit.server) {
+            scheduler.set_limited(server, limit.rate.is_some());
         }
     }
 }
 
-/// Takes in permits.
-pub(crate) fn permit<S: Site>(state: &State<S>, permits: &[(u32, u32)]) {
+/// Hands permits to the scheduler, by the key of the server's name.
+pub(crate) fn add_permits<S: Site>(state: &State<S>, permits: &[(u32, u32)]) {
     let now = state.clock.now();
     let names = state.names.borrow();
     for (server, count) in permits {
@@ -108,16 +112,16 @@
     }
 }
 
-/// Permits of a node's own, where no seed has answered for a while.
-pub(crate) fn alone<S: Site>(state: &State<S>) {
+/// Issues permits to this node itself if no seed has answered within [`SEED_TIMEOUT`].
+pub(crate) fn issue_without_seeds<S: Site>(state: &State<S>) {
     let now = state.clock.now();
-    if state.limits.answered.get().is_some_and(|answered| now < answered + ALONE) {
+    if state.limits.seed_answered.get().is_some_and(|answered| now < answered + SEED_TIMEOUT) {
         return;
     }
     let nodes = match state.fleet_nodes.get() {
-        0 | 1 if !state.node().seeds.is_empty() => UNKNOWN_FLEET,
+        0 | 1 if !state.node().seeds.is_empty() => UNKNOWN_FLEET_NODES,
         nodes => nodes.max(1),
     };
-    let permits = state.limits.issue(f64::from(nodes) / ALONE_PART, 1, now);
-    permit(state, &permits);
+    let permits = state.limits.issue(f64::from(nodes) / PART_WITHOUT_SEEDS, 1, now);
+    add_permits(state, &permits);
 }
--- a/components/forward/src/source.rs
+++ b/components/forward/src/source.rs
@@ -1,16 +1,17 @@
-//! Whom a node asks for what is published: the store itself, or a peer that reads it.
+//! Chooses whom a node asks for published settings and servers: the store itself, or a peer that reads it.
 //!
-//! Load pattern: a fleet of hundreds of nodes and a store whose calls are limited and paid for. If each
-//! node read it, every change would cost as many calls as there are nodes. So the few nodes that all
-//! know from their settings, the seeds, read the store, and the others ask one of them, by hash.
+//! Load pattern: a fleet of hundreds of nodes, and a store whose calls are limited and paid for. If each
+//! node read the store, every change would cost as many calls as there are nodes. So only the seeds, a
+//! few nodes that all nodes know from their settings, read the store; the others ask one of the seeds,
+//! which they choose by hash.
 //!
-//! A node that starts asks the seeds too: hundreds that lost power together would otherwise all read a
-//! long list over a narrow link at once.
+//! A node that starts asks the seeds as well: hundreds that lost power together would otherwise all read
+//! a long list over a narrow link at once.
 //!
-//! A seed that has lost the store asks the other seeds, then one of the nodes that asked it of late, its
-//! delegate. Nodes whose seeds are all there, but have lost the store, wait for a delegate to bring it
-//! back before they read the store themselves, and then spread their reads by the size of the fleet.
-//! Where no seed answers at all a node reads the store at once.
+//! A seed that has lost contact with the store asks the other seeds, then its delegate: one of the nodes
+//! that asked it recently. If all seeds run but have lost contact with the store, the other nodes give
+//! the delegates time to reach it before they read the store themselves, and then spread their reads by
+//! the size of the fleet. If no seed answers at all, a node reads the store at once.
 
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
@@ -20,48 +21,48 @@
 use rand::Rng;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Time after which a node that had to leave its first source tries it again; doubled each time that it
-/// still fails.
-const BACK: Duration = Duration::from_secs(1);
-/// The longest such time.
-const LONGEST: Duration = Duration::from_secs(5);
-/// Time that a node which starts gives its first source to start as well.
-const STARTING: Duration = Duration::from_secs(1);
-/// Time after its start before a node that knows nothing yet reads the store. Machines that start together
-/// do so within 0.3 s, seeds among them.
-const GRACE: Duration = Duration::from_millis(300);
-/// Longest list of servers, in bytes, that a node reads itself while seeds may have it.
-const SHORT: usize = 16 << 10;
-/// Time that a node which starts where the list is long waits for a seed that has it.
-const SEEDS: Duration = Duration::from_secs(3);
-/// Time that seeds which have lost the store are given to hear of it from a delegate. A proof is some two
-/// seconds old by then and counts for nearly five.
-const DEFERRAL: Duration = Duration::from_millis(600);
-/// First reads of the store a second, over all nodes, once that time is over.
-const FIRST_READS: f64 = 200.0;
-/// Reads of a store that gives no answer a second, over all nodes that aren't seeds.
-const LATER_READS: f64 = 50.0;
-/// Time for which a node that was asked by a seed stays its delegate.
-const DELEGATED: Duration = Duration::from_secs(3);
-/// Nodes that a seed remembers as possible delegates.
-const CALLERS: usize = 8;
+/// Time after which a node that left its first source tries it again; doubled each time that this fails.
+const FIRST_RETRY_MIN: Duration = Duration::from_secs(1);
+/// Upper bound of the time after which a node tries its first source again.
+const FIRST_RETRY_MAX: Duration = Duration::from_secs(5);
+/// Time after its own start during which a node goes on asking its first source although that refuses
+/// connections: it may be starting as well.
+const STARTUP: Duration = Duration::from_secs(1);
+/// Time after its start before a node that has received nothing yet reads the store. VMs that start
+/// together, seeds included, do so within 0.3 s.
+const FIRST_STORE_READ_DELAY: Duration = Duration::from_millis(300);
+/// Longest list of servers, in bytes, that a starting node reads from the store while seeds may have it.
+const SHORT_LIST_BYTES: usize = 16 << 10;
+/// Time after its start during which a node leaves a list longer than [`SHORT_LIST_BYTES`] to the seeds.
+const LONG_LIST_WAIT: Duration = Duration::from_secs(3);
+/// Time for which nodes wait for a delegate to bring seeds that have lost contact with the store up to date.
+/// By its end their proof is about two seconds old; it counts for nearly five.
+const DELEGATE_WAIT: Duration = Duration::from_millis(600);
+/// First reads of the store per second, over all nodes, once [`DELEGATE_WAIT`] is over.
+const FIRST_READS_PER_S: f64 = 200.0;
+/// Reads per second of a store that doesn't answer, over all nodes that aren't seeds.
+const LATER_READS_PER_S: f64 = 50.0;
+/// Time for which a node remains a delegate after a seed asked it.
+const DELEGATION: Duration = Duration::from_secs(3);
+/// Number of nodes that a seed remembers as possible delegates.
+const MAX_CANDIDATES: usize = 8;
 
 derives::value! {
     /// Whom to ask.
     pub(crate) enum Source {
-        /// A peer's listener.
+        /// A peer, by the address of its listener for peers.
         Peer(SocketAddr),
         /// The store.
         Store,
     }
 
-    /// Why a source gave nothing that can be used.
+    /// Why a source gave no usable answer.
     pub(crate) enum Failure {
-        /// Its VM is there, and nothing listens.
+        /// The peer's VM runs, but nothing listens at the port.
         Refused,
-        /// The peer is there and has lost the store.
-        Lost,
-        /// No answer, or none that makes sense.
+        /// The peer runs, but has lost contact with the store.
+        StoreLost,
+        /// There was no answer, or one that can't be used.
         Down,
     }
 }
@@ -69,213 +70,239 @@
 /// The sources of one node, in the order in which it tries them.
 #[derive(Debug)]
 pub(crate) struct Sources {
-    /// A seed has the store first, then the other seeds; another node the seeds, that of the own
-    /// network first, and the store last.
+    /// For a seed the store, then the other seeds; for another node the seeds, beginning with the one in
+    /// its own network, then the store.
     order: Vec<Source>,
-    seed: bool,
-    /// A node that a seed without the store asks.
+    is_seed: bool,
+    /// Node that a seed without contact to the store asks after all others.
     delegate: Option<SocketAddr>,
-    turn: usize,
-    left: Option<Instant>,
-    /// The source that answers while the first one doesn't.
-    working: Option<usize>,
-    /// How often in a row the first source gave no answer.
-    misses: u32,
+    /// Index in the order of the source that is asked now.
+    current: usize,
+    /// When the first source was left for another.
+    left_first: Option<Instant>,
+    /// Index of the source that answers while the first one doesn't.
+    fallback: Option<usize>,
+    /// Consecutive failures of the first source.
+    first_failures: u32,
     started: Instant,
-    /// Something was read.
-    read: bool,
-    /// The list of servers was found to be long.
-    long: bool,
-    /// In this round some seed answered that it has lost the store.
-    alive: bool,
-    /// From when on the store may be read though seeds are there; set once they have all lost it.
-    deferred: Option<Instant>,
+    /// Whether any source has answered since the start.
+    has_read: bool,
+    /// Whether the list of servers was found to be longer than [`SHORT_LIST_BYTES`].
+    list_is_long: bool,
+    /// Whether a peer answered in this round that it has lost contact with the store.
+    peer_without_store: bool,
+    /// When the store may be read although seeds run; set once all of them have lost contact with it.
+    store_read_at: Option<Instant>,
 }
 
-/// What a node knows of itself and its fleet when it chooses a source.
+/// What the choice of a source depends on, apart from answers and failures.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Duty {
-    /// A seed that has lost the store relies on this node.
-    pub(crate) delegated: bool,
-    /// Nodes of the fleet, as far as known.
-    pub(crate) nodes: u32,
+pub(crate) struct Context {
+    /// Whether this node is the delegate of a seed that has lost contact with the store.
+    pub(crate) is_delegate: bool,
+    /// Number of nodes in the fleet, as far as known.
+    pub(crate) fleet_nodes: u32,
 }
 
 impl Sources {
-    /// The sources of the node `name` that listens for peers at `own` and starts now.
+    /// The sources of the node `name`, which listens for peers at `own` and starts at `now`.
     pub(crate) fn new(name: &str, own: SocketAddr, seeds: &[SocketAddr], now: Instant) -> Self {
-        let seed = seeds.contains(&own);
+        let is_seed = seeds.contains(&own);
         let mut order: Vec<_> =
             seeds_by_preference(name, own, seeds).into_iter().map(Source::Peer).collect();
-        let store = if seed { 0 } else { order.len() };
+        let store = if is_seed { 0 } else { order.len() };
         order.insert(store, Source::Store);
         Sources {
             order,
-            seed,
+            is_seed,
             delegate: None,
-            turn: 0,
-            left: None,
-            working: None,
-            misses: 0,
+            current: 0,
+            left_first: None,
+            fallback: None,
+            first_failures: 0,
             started: now,
-            read: false,
-            long: false,
-            alive: false,
-            deferred: None,
+            has_read: false,
+            list_is_long: false,
+            peer_without_store: false,
+            store_read_at: None,
         }
     }
 
-    /// Whom to ask now. A delegate stays at the store while it is one.
-    pub(crate) fn now(&mut self, duty: Duty, now: Instant) -> Source {
-        let back = (BACK * (1 << self.misses.saturating_sub(1).min(8))).min(LONGEST);
-        let due = self.left.is_some_and(|left| now >= left + back);
-        if due && !(duty.delegated && self.at(self.turn) == Source::Store) {
-            (self.turn, self.left) = (0, None);
+    /// Selects the source to ask now. Goes back to the first source when that is due, but not from the
+    /// store while this node is a delegate.
+    pub(crate) fn select(&mut self, context: Context, now: Instant) -> Source {
+        let retry = (FIRST_RETRY_MIN * (1 << self.first_failures.saturating_sub(1).min(8)))
+            .min(FIRST_RETRY_MAX);
+        let due = self.left_first.is_some_and(|left| now >= left + retry);
+        if due && !(context.is_delegate && self.source_at(self.current) == Source::Store) {
+            (self.current, self.left_first) = (0, None);
         }
-        self.at(self.turn)
+        self.source_at(self.current)
     }
 
-    fn at(&self, turn: usize) -> Source {
+    /// The source at an index; the delegate comes after the order.
+    fn source_at(&self, index: usize) -> Source {
         let delegate = self.delegate.map(Source::Peer);
-        self.order.get(turn).copied().or(delegate).unwrap_or(self.order[0])
+        self.order.get(index).copied().or(delegate).unwrap_or(self.order[0])
     }
 
+    /// Number of sources, the delegate included.
     fn len(&self) -> usize {
         self.order.len() + usize::from(self.delegate.is_some())
     }
 
-    /// Bytes of the store's list of servers that this node reads itself; without a limit if none.
-    pub(crate) fn most(&self, now: Instant) -> Option<usize> {
-        let seeds = !self.seed && self.order.len() > 1;
-        let waits = seeds && !self.read && now < self.started + SEEDS;
-        waits.then_some(SHORT)
+    /// Longest list of servers in bytes that this node reads from the store; none if there is no limit.
+    pub(crate) fn list_limit(&self, now: Instant) -> Option<usize> {
+        let has_seeds = !self.is_seed && self.order.len() > 1;
+        let waits = has_seeds && !self.has_read && now < self.started + LONG_LIST_WAIT;
+        waits.then_some(SHORT_LIST_BYTES)
     }
 
-    /// Nothing was read since the start.
-    pub(crate) fn starting(&self) -> bool {
-        !self.read
+    /// Whether no source has answered since the start.
+    pub(crate) fn is_starting(&self) -> bool {
+        !self.has_read
     }
 
-    /// The list is too long to be read here.
-    pub(crate) fn found_long(&mut self) {
-        (self.long, self.turn, self.left) = (true, 0, None);
+    /// Records that the list in the store is longer than [`Sources::list_limit`], and goes back to the seeds.
+    pub(crate) fn record_long_list(&mut self) {
+        (self.list_is_long, self.current, self.left_first) = (true, 0, None);
     }
 
-    /// The one asked answered.
-    pub(crate) fn answered(&mut self) {
-        (self.read, self.alive) = (true, false);
-        self.working = (self.turn != 0).then_some(self.turn);
-        if self.turn == 0 {
-            self.misses = 0;
+    /// Records that the selected source answered.
+    pub(crate) fn record_success(&mut self) {
+        (self.has_read, self.peer_without_store) = (true, false);
+        self.fallback = (self.current != 0).then_some(self.current);
+        if self.current == 0 {
+            self.first_failures = 0;
         }
-        if self.at(self.turn) != Source::Store {
-            self.deferred = None;
+        if self.source_at(self.current) != Source::Store {
+            self.store_read_at = None;
         }
     }
 
-    /// Whether the first source is only tried again, while another one answers.
-    pub(crate) fn probes(&self) -> bool {
-        self.turn == 0 && self.working.is_some()
+    /// Whether the first source is only being tried again while another one answers.
+    pub(crate) fn is_probing_first(&self) -> bool {
+        self.current == 0 && self.fallback.is_some()
     }
 
-    /// A seed's next delegate, if it needs one.
+    /// Sets the next delegate, if this node is a seed that isn't using one.
     pub(crate) fn set_delegate(&mut self, delegate: Option<SocketAddr>) {
-        if self.seed && !self.probes() && self.turn < self.order.len() {
+        if self.is_seed && !self.is_probing_first() && self.current < self.order.len() {
             self.delegate = delegate;
         }
     }
 
-    /// The one asked gave nothing that can be used. Returns whether to pause before the next: all have
-    /// been tried in turn, or the first may only be starting.
-    pub(crate) fn failed(&mut self, failure: Failure, duty: Duty, now: Instant) -> bool {
-        if self.probes()
-            && let Some(working) = self.working
+    /// Records that the selected source gave no usable answer, and moves on to the next. Returns whether to
+    /// pause before that: all sources have been tried in turn, or the first may only be starting.
+    pub(crate) fn record_failure(
+        &mut self,
+        failure: Failure,
+        context: Context,
+        now: Instant,
+    ) -> bool {
+        if self.is_probing_first()
+            && let Some(fallback) = self.fallback
         {
-            self.misses += 1;
-            (self.turn, self.left) = (working, Some(now));
+            self.first_failures += 1;
+            (self.current, self.left_first) = (fallback, Some(now));
             return false;
         }
-        self.working = None;
-        let asked = self.at(self.turn);
-        self.alive |= failure == Failure::Lost;
-        if self.turn == 0 && asked != Source::Store {
-            let starts = self.read && now < self.started + STARTING;
-            if starts && failure == Failure::Refused {
+        self.fallback = None;
+        let asked = self.source_at(self.current);
+        self.peer_without_store |= failure == Failure::StoreLost;
+        if self.current == 0 && asked != Source::Store {
+            let may_be_starting = self.has_read && now < self.started + STARTUP;
+            if may_be_starting && failure == Failure::Refused {
                 return true;
             }
-            self.misses += u32::from(self.read);
+            self.first_failures += u32::from(self.has_read);
         }
-        if asked == Source::Store && !self.seed {
-            self.defer(LATER_READS, Duration::ZERO, duty, now);
+        if asked == Source::Store && !self.is_seed {
+            self.schedule_store_read(LATER_READS_PER_S, Duration::ZERO, context, now);
         }
-        self.turn = (self.turn + 1) % self.len();
-        if self.at(self.turn) == Source::Store && !self.seed && !self.may_read_store(duty, now) {
-            self.turn = (self.turn + 1) % self.len();
+        self.current = (self.current + 1) % self.len();
+        if self.source_at(self.current) == Source::Store
+            && !self.is_seed
+            && !self.may_read_store(context, now)
+        {
+            self.current = (self.current + 1) % self.len();
         }
-        self.left = (self.turn != 0).then_some(now);
-        if self.turn == 0 {
-            self.alive = false;
+        self.left_first = (self.current != 0).then_some(now);
+        if self.current == 0 {
+            self.peer_without_store = false;
         }
-        self.turn == 0
+        self.current == 0
     }
 
-    /// Whether a node that isn't a seed may read the store, all seeds having failed.
-    fn may_read_store(&mut self, duty: Duty, now: Instant) -> bool {
-        if !self.read {
-            let seeds_have_it = self.long && now < self.started + SEEDS;
-            return now >= self.started + GRACE && !seeds_have_it;
+    /// Whether a node that isn't a seed may read the store after all seeds have failed.
+    fn may_read_store(&mut self, context: Context, now: Instant) -> bool {
+        if !self.has_read {
+            let leave_to_seeds = self.list_is_long && now < self.started + LONG_LIST_WAIT;
+            return now >= self.started + FIRST_STORE_READ_DELAY && !leave_to_seeds;
         }
-        if !self.alive || duty.delegated {
+        if !self.peer_without_store || context.is_delegate {
             return true;
         }
-        if self.deferred.is_none() {
-            self.defer(FIRST_READS, DEFERRAL, duty, now);
+        if self.store_read_at.is_none() {
+            self.schedule_store_read(FIRST_READS_PER_S, DELEGATE_WAIT, context, now);
         }
-        self.deferred.is_some_and(|until| now >= until)
+        self.store_read_at.is_some_and(|at| now >= at)
     }
 
-    /// Puts the next read of the store off, so that all nodes together make so many a second.
-    fn defer(&mut self, reads: f64, least: Duration, duty: Duty, now: Instant) {
-        let spread = f64::from(duty.nodes) / reads * rand::rng().random_range(0.0..1.0);
-        self.deferred = Some(now + least + Duration::from_secs_f64(spread));
+    /// Schedules the next read of the store after `delay` and a random time, so that the whole fleet makes
+    /// `reads_per_s`.
+    fn schedule_store_read(
+        &mut self,
+        reads_per_s: f64,
+        delay: Duration,
+        context: Context,
+        now: Instant,
+    ) {
+        let spread =
+            f64::from(context.fleet_nodes) / reads_per_s * rand::rng().random_range(0.0..1.0);
+        self.store_read_at = Some(now + delay + Duration::from_secs_f64(spread));
     }
 }
 
-/// The nodes that asked a seed of late, any of which may be its delegate, and whether this node is one.
+/// The nodes that a seed may choose as its delegate, and whether this node is the delegate of a seed.
 #[derive(Debug, Default)]
 pub(crate) struct Delegates {
-    recent: RefCell<VecDeque<SocketAddr>>,
-    asked: Cell<Option<Instant>>,
+    /// Nodes that asked this one most recently, by the addresses of their listeners for peers.
+    candidates: RefCell<VecDeque<SocketAddr>>,
+    /// When a seed last asked this node.
+    asked_by_seed: Cell<Option<Instant>>,
 }
 
 impl Delegates {
-    /// A node that listens for peers at an address asked.
+    /// Adds a node that asked this one, by the address of its listener for peers.
     pub(crate) fn add_candidate(&self, address: SocketAddr) {
-        let mut recent = self.recent.borrow_mut();
-        recent.retain(|known| *known != address);
-        recent.truncate(CALLERS - 1);
-        recent.push_front(address);
+        let mut candidates = self.candidates.borrow_mut();
+        candidates.retain(|known| *known != address);
+        candidates.truncate(MAX_CANDIDATES - 1);
+        candidates.push_front(address);
     }
 
-    /// One of them by chance, so that one which has lost the store too isn't asked again and again.
+    /// A random candidate, so that one which has lost contact with the store as well isn't asked again and
+    /// again.
     pub(crate) fn pick_candidate(&self) -> Option<SocketAddr> {
-        let recent = self.recent.borrow();
-        let index = rand::rng().random_range(0..recent.len().max(1));
-        recent.get(index).copied()
+        let candidates = self.candidates.borrow();
+        let index = rand::rng().random_range(0..candidates.len().max(1));
+        candidates.get(index).copied()
     }
 
-    /// A seed asked this node.
+    /// Records that a seed asked this node, which makes it the seed's delegate.
     pub(crate) fn record_delegation(&self, now: Instant) {
-        self.asked.set(Some(now));
+        self.asked_by_seed.set(Some(now));
     }
 
-    /// Whether this node is a seed's delegate.
+    /// Whether this node is the delegate of a seed.
     pub(crate) fn is_delegate(&self, now: Instant) -> bool {
-        self.asked.get().is_some_and(|asked| now < asked + DELEGATED)
+        self.asked_by_seed.get().is_some_and(|asked| now < asked + DELEGATION)
     }
 }
 
-/// The seeds but `own`: that of the own network first, then by a hash that differs by node.
+/// The seeds other than `own` in the order in which a node asks them: those in its own network first, then
+/// by a hash that differs from node to node.
 pub(crate) fn seeds_by_preference(
     name: &str,
     own: SocketAddr,
@@ -284,14 +311,14 @@
     let mut peers: Vec<_> = seeds.iter().copied().filter(|seed| *seed != own).collect();
     peers.sort_by_key(|seed| {
         let hash = xxh3_64(format!("{name} {seed}").as_bytes());
-        (network(seed.ip()) != network(own.ip()), hash)
+        (network_prefix(seed.ip()) != network_prefix(own.ip()), hash)
     });
     peers
 }
 
-/// The network of an address, as far as can be told from it: a failure domain mostly has one of its
-/// own. What is published crosses to another domain once for its seed, not for each of its nodes.
-fn network(address: IpAddr) -> [u8; 2] {
+/// The part of an address that names its network. A failure domain mostly has a network of its own, so what
+/// is published crosses to another domain once for the domain's seed, not once for each of its nodes.
+fn network_prefix(address: IpAddr) -> [u8; 2] {
     match address {
         IpAddr::V4(address) => [address.octets()[0], address.octets()[1]],
         IpAddr::V6(address) => [address.octets()[4], address.octets()[5]],
--- a/components/forward/src/updates.rs
+++ b/components/forward/src/updates.rs
@@ -1,4 +1,4 @@
-//! What nodes ask each other of what is published, and report of their work.
+//! Exchanges updates of the published settings and servers, and reports of work, between nodes.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -17,58 +17,58 @@
 use crate::site::{Site, StoreError};
 use crate::state::State;
 
-/// Path of the question for updates on the peers' listener.
-const UPDATES: &str = "/updates";
-/// Path at which seeds tell each other of work.
-const WORK: &str = "/work";
-/// Largest question: a name and a few numbers.
-const QUESTION: usize = 4 << 10;
-/// Largest answer: all that is published, several megabytes for ten thousand servers.
-const ANSWER: usize = 16 << 20;
-/// Time beyond its wait in which a peer must have answered.
-const OVERDUE: Duration = Duration::from_millis(500);
-/// The same for all there is: some 400 KB for ten thousand servers, which a peer sends to all nodes of
-/// its region at once where all of them start.
-const ALL: Duration = Duration::from_millis(900);
-/// Time to connect to a peer. One that is there takes a round trip, at most some 20 ms between regions;
-/// one that has no power would otherwise keep a node waiting that starts without it.
-const CONNECT: Duration = Duration::from_millis(60);
+/// Path on the listener for peers at which a node asks for updates.
+const UPDATES_PATH: &str = "/updates";
+/// Path at which seeds report work to each other.
+const WORK_PATH: &str = "/work";
+/// Largest request in bytes: a name and a few numbers.
+const MAX_REQUEST_BYTES: usize = 4 << 10;
+/// Largest answer in bytes: everything that is published, several megabytes for ten thousand servers.
+const MAX_ANSWER_BYTES: usize = 16 << 20;
+/// Time beyond its wait within which a peer must have answered.
+const ANSWER_GRACE: Duration = Duration::from_millis(500);
+/// The same for an answer with everything: some 400 KB for ten thousand servers, which a peer sends to all
+/// nodes of its region at once when all of them start.
+const FULL_ANSWER_GRACE: Duration = Duration::from_millis(900);
+/// Time to connect to a peer. One that runs takes a round trip, at most some 20 ms between regions. One
+/// without power doesn't answer at all, and would keep a starting node waiting.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(60);
 /// Time for which a node's report of its work counts.
-const COUNTS_FOR: Duration = Duration::from_secs(5);
-/// Nodes whose work is remembered, against a flood of names.
-const NODES: usize = 2_000;
+const WORK_LIFETIME: Duration = Duration::from_secs(5);
+/// Number of nodes whose work is remembered; bounds the memory under a flood of names.
+const MAX_NODES: usize = 2_000;
 
-/// The work that other nodes reported.
+/// The last report of work of each other node, by the node's name.
 #[derive(Default)]
 pub(crate) struct WorkReports {
     nodes: RefCell<HashMap<String, (Instant, Work)>>,
 }
 
 impl WorkReports {
-    fn note(&self, name: &str, work: Work, now: Instant) {
+    fn record(&self, name: &str, work: Work, now: Instant) {
         let mut nodes = self.nodes.borrow_mut();
-        nodes.retain(|_, (at, _)| now < *at + COUNTS_FOR);
-        if nodes.len() < NODES || nodes.contains_key(name) {
+        nodes.retain(|_, (at, _)| now < *at + WORK_LIFETIME);
+        if nodes.len() < MAX_NODES || nodes.contains_key(name) {
             nodes.insert(name.to_string(), (now, work));
         }
     }
 
-    /// The sum of all of it.
+    /// The sum of the reports that still count.
     pub(crate) fn sum(&self, now: Instant) -> Work {
         let nodes = self.nodes.borrow();
-        let fresh = nodes.values().filter(|(at, _)| now < *at + COUNTS_FOR);
+        let fresh = nodes.values().filter(|(at, _)| now < *at + WORK_LIFETIME);
         fresh.fold(Work::default(), |sum, (_, work)| sum.plus(*work))
     }
 }
 
-/// A client of peers.
+/// An HTTP client for calls to peers.
 pub(crate) fn peer_client() -> awc::Client {
-    let connector = awc::Connector::new().timeout(CONNECT);
+    let connector = awc::Connector::new().timeout(CONNECT_TIMEOUT);
     awc::Client::builder().connector(connector).disable_timeout().disable_redirects().finish()
 }
 
-/// Asks a peer for what changed after a position.
-pub(crate) async fn ask<S: Site>(
+/// Asks a peer for the changes after this node's position; the peer may wait up to `wait` for one.
+pub(crate) async fn request_update<S: Site>(
     state: &State<S>,
     peer: SocketAddr,
     wait: Duration,
@@ -82,7 +82,7 @@
     };
     let down = |cause: &dyn std::fmt::Display| StoreError::Down(format!("peer {peer}: {cause}"));
     let call = async {
-        let request = state.peers.post(format!("http://{peer}{UPDATES}"));
+        let request = state.peers.post(format!("http://{peer}{UPDATES_PATH}"));
         let mut response = request.send_body(ask.encode()).await.map_err(|cause| match cause {
             SendRequestError::Connect(ConnectError::Io(cause))
                 if cause.kind() == io::ErrorKind::ConnectionRefused =>
@@ -91,71 +91,77 @@
             }
             cause => down(&cause),
         })?;
-        let body = response.body().limit(ANSWER).await.map_err(|cause| down(&cause))?;
+        let body = response.body().limit(MAX_ANSWER_BYTES).await.map_err(|cause| down(&cause))?;
         match response.status() {
             StatusCode::OK => Update::decode(&body).map_err(|cause| down(&cause)),
             status => Err(down(&status)),
         }
     };
-    let overdue = if ask.position.is_none() { ALL } else { OVERDUE };
-    let answer = tokio::time::timeout(wait + overdue, call).await;
-    answer.unwrap_or_else(|_| Err(down(&"it is silent")))
+    let grace = if ask.position.is_none() { FULL_ANSWER_GRACE } else { ANSWER_GRACE };
+    let answer = tokio::time::timeout(wait + grace, call).await;
+    answer.unwrap_or_else(|_| Err(down(&"no answer in time")))
 }
 
-/// Tells a seed of the work that this one heard of itself.
-pub(crate) async fn tell<S: Site>(state: &State<S>, seed: SocketAddr) -> Result<(), StoreError> {
+/// Reports to another seed the work of this node and of the nodes that ask it.
+pub(crate) async fn report_work<S: Site>(
+    state: &State<S>,
+    seed: SocketAddr,
+) -> Result<(), StoreError> {
     let work = state.own_work().plus(state.received.sum(state.clock.now()));
     let ask = UpdateRequest { from: state.node().name.clone(), work, ..UpdateRequest::default() };
-    let request = state.peers.post(format!("http://{seed}{WORK}")).timeout(OVERDUE);
+    let request = state.peers.post(format!("http://{seed}{WORK_PATH}")).timeout(ANSWER_GRACE);
     let sent = request.send_body(ask.encode()).await;
     sent.map(|_| ()).map_err(|cause| StoreError::Down(format!("seed {seed}: {cause}")))
 }
 
-/// Answers a call of a peer.
+/// Answers a request on the listener for peers.
 pub(crate) async fn handle<S: Site>(state: Rc<State<S>>, mut request: Request) -> Answer {
     let status = |status| Response::new(status).map_into_boxed_body();
     let path = request.path().to_string();
-    if request.method() == Method::POST && [gossip::NODES, gossip::SEEDS].contains(&path.as_str()) {
+    if request.method() == Method::POST
+        && [gossip::NODE_PATH, gossip::SEED_PATH].contains(&path.as_str())
+    {
         return gossip::handle(&state, request).await;
     }
-    if request.method() != Method::POST || ![UPDATES, WORK].contains(&path.as_str()) {
+    if request.method() != Method::POST || ![UPDATES_PATH, WORK_PATH].contains(&path.as_str()) {
         return status(StatusCode::NOT_FOUND);
     }
-    let body = match listen::whole(&mut request, QUESTION).await {
+    let body = match listen::whole(&mut request, MAX_REQUEST_BYTES).await {
         Ok(body) => body,
         Err(unread) => return unread.answer(),
     };
     listen::received(&request);
     let Ok(ask) = UpdateRequest::decode(&body) else { return status(StatusCode::BAD_REQUEST) };
     let now = state.clock.now();
-    if path == WORK {
-        state.seeds_received.note(&ask.from, ask.work, now);
+    if path == WORK_PATH {
+        state.seeds_received.record(&ask.from, ask.work, now);
         return status(StatusCode::OK);
     }
     match ask.address {
         Some(address) if state.is_seed() => state.callers.add_candidate(address),
         _ => state.callers.record_delegation(now),
     }
-    if !loaded(&state, Duration::from_millis(ask.wait_ms.into())).await {
+    if !wait_until_loaded(&state, Duration::from_millis(ask.wait_ms.into())).await {
         return status(StatusCode::SERVICE_UNAVAILABLE);
     }
-    state.received.note(&ask.from, ask.work, now);
-    tell_updates(&state, &ask).await
+    state.received.record(&ask.from, ask.work, now);
+    answer_update(&state, &ask).await
 }
 
-/// Whether settings and servers are known, at once or within a time.
-async fn loaded<S: Site>(state: &State<S>, within: Duration) -> bool {
-    let known = async {
+/// Waits until settings and servers are known, at most for a time; returns whether they are.
+async fn wait_until_loaded<S: Site>(state: &State<S>, within: Duration) -> bool {
+    let loaded = async {
         while !state.loaded.get() {
             state.told.notified().await;
         }
     };
-    tokio::time::timeout(within, known).await.is_ok()
+    tokio::time::timeout(within, loaded).await.is_ok()
 }
 
-/// Ends once something was learned. A seed asks its delegate when it has lost the store itself, so what
-/// it waits for is that the delegate has read it.
-async fn learned<S: Site>(state: &State<S>) {
+/// Waits until this node has received an update, a newer proof or a failure of its source. A delegate skips the
+/// failures: the seed asks because it has lost contact with the store itself, so it has no use for an answer
+/// before the delegate has read the store.
+async fn wait_for_update<S: Site>(state: &State<S>) {
     loop {
         state.told.notified().await;
         if state.is_seed() || state.failures.get() == 0 {
@@ -164,13 +170,13 @@
     }
 }
 
-/// Answers once there is an update, or a younger proof that there is none.
-async fn tell_updates<S: Site>(state: &State<S>, ask: &UpdateRequest) -> Answer {
+/// Answers once there is an update or a newer proof that there is none, or the wait is over.
+async fn answer_update<S: Site>(state: &State<S>, ask: &UpdateRequest) -> Answer {
     let asked = state.clock.awake();
-    let update = || state.replica.borrow().position() > ask.position;
-    if ask.position.is_some() && !update() {
+    let has_update = || state.replica.borrow().position() > ask.position;
+    if ask.position.is_some() && !has_update() {
         let wait = Duration::from_millis(ask.wait_ms.into());
-        let _ = tokio::time::timeout(wait, learned(state)).await;
+        let _ = tokio::time::timeout(wait, wait_for_update(state)).await;
     }
     let (base, items) = match ask.position {
         Some(position) => (None, state.replica.borrow_mut().changes_since(position)),
