--- a/components/forward/src/gossip.rs
+++ b/components/forward/src/gossip.rs
@@ -103,18 +103,18 @@
             (suspicions, limited) = (Cursor::default(), Cursor::default());
         }
         let report = own_report(&state, &mut sent, view.at());
-        let report = suspects::report(&state, &mut suspicions, report);
-        let report = limits::report(&state, &mut limited, report);
+        let report = suspects::add_to_report(&state, &mut suspicions, report);
+        let report = limits::add_to_report(&state, &mut limited, report);
         let answer = call(&state, seed, NODE_PATH, report).await;
         let now = state.clock.now();
         let took = answer.as_ref().ok().map(|_| now.saturating_duration_since(asked));
-        seeds.answered(seed, took, now);
+        seeds.record_answer(seed, took, now);
         let pause = match answer {
             Ok(summary) => {
                 let pause = Duration::from_millis(summary.pause_ms.into()).max(PAUSE);
                 take_parts(&state, &summary.parts);
-                suspects::answered(&state, &mut suspicions, &summary);
-                limits::answered(&state, &mut limited, &summary);
+                suspects::apply_summary(&state, &mut suspicions, &summary);
+                limits::apply_summary(&state, &mut limited, &summary);
                 state.limits.record_seed_answer(now);
                 view.apply(summary, now);
                 let (loads, sends) = sent.others(&view, now);
@@ -160,14 +160,14 @@
     while let Some(state) = weak.upgrade() {
         let known = state.gossip.hub.borrow().seed(&name);
         let report = Report { from: state.node().name.clone(), known, ..Report::default() };
-        let report = suspects::report(&state, &mut suspicions, report);
-        let report = limits::report(&state, &mut limited, report);
+        let report = suspects::add_to_report(&state, &mut suspicions, report);
+        let report = limits::add_to_report(&state, &mut limited, report);
         let answer = call(&state, seed, SEED_PATH, report).await;
         let now = state.clock.now();
         match answer {
             Ok(summary) => {
-                suspects::answered(&state, &mut suspicions, &summary);
-                limits::answered(&state, &mut limited, &summary);
+                suspects::apply_summary(&state, &mut suspicions, &summary);
+                limits::apply_summary(&state, &mut limited, &summary);
                 let parts = state.gossip.hub.borrow_mut().learn(&name, summary, now);
                 take_parts(&state, &parts);
             }
@@ -216,13 +216,14 @@
     let hub = state.gossip.hub.borrow();
     let mut summary =
         if from_seed { hub.cluster(known, now) } else { hub.fleet(&from, known, now) };
-    summary = suspects::answer(state, (&accused, suspects_known), known, from_seed, summary);
+    summary =
+        suspects::add_to_summary(state, (&accused, suspects_known), known, from_seed, summary);
     let permits = if from_seed { vec![] } else { issue(state) };
-    summary = limits::answer(state, (&named, limits_known), known, summary, permits);
+    summary = limits::add_to_summary(state, (&named, limits_known), known, summary, permits);
     summary.pause_ms = state.gossip.pace.borrow().pause(hub.nodes()).as_millis() as u32;
     let body = summary.encode();
     if !from_seed && !summary.whole {
-        state.gossip.pace.borrow_mut().answered(body.len());
+        state.gossip.pace.borrow_mut().record_answer(body.len());
     }
     Response::build(StatusCode::OK).body(body).map_into_boxed_body()
 }
--- a/components/forward/src/gossip/limits.rs
+++ b/components/forward/src/gossip/limits.rs
@@ -1,4 +1,4 @@
-//! Exchange of the rate limits that servers name, and the permits that seeds hand out.
+//! Exchanges the rate limits that servers name, and the permits that seeds issue, between nodes and seeds.
 
 use std::time::{Duration, Instant};
 
@@ -11,34 +11,39 @@
 use crate::site::Site;
 use crate::state::State;
 
-/// Limits are reported as requests in so many seconds, in whole numbers.
+/// Time in seconds over which a limit is given on the wire: there it is a whole number of requests.
 const RATE_SECONDS: f64 = 1_000.0;
 
-/// Adds to a report what the seed may not know, and asks for the rest.
-pub(super) fn report<S: Site>(state: &State<S>, cursor: &mut Cursor, report: Report) -> Report {
-    let (named, version) = state.limits.throttle.borrow().since(cursor.reported());
-    cursor.report(version);
+/// Adds to a report the limits that the seed may not have, and the version up to which the node has the seed's.
+pub(super) fn add_to_report<S: Site>(
+    state: &State<S>,
+    cursor: &mut Cursor,
+    report: Report,
+) -> Report {
+    let (named, version) = state.limits.throttle.borrow().since(cursor.acknowledged());
+    cursor.begin_report(version);
     let limits = to_wire(&named, state.clock.now());
     Report { limits, limits_known: cursor.received(), ..report }
 }
 
-/// Takes in a seed's answer, with the permits in it.
-pub(super) fn answered<S: Site>(state: &State<S>, cursor: &mut Cursor, summary: &Summary) {
+/// Applies the limits and permits in a seed's answer.
+pub(super) fn apply_summary<S: Site>(state: &State<S>, cursor: &mut Cursor, summary: &Summary) {
     if !state.loaded.get() {
-        // What is said of servers that aren't listed yet would be lost.
+        // Limits of servers that aren't listed are dropped, so the answer must be sent again once servers are
+        // known.
         return;
     }
     let now = state.clock.now();
-    cursor.answered(summary.at.boot, summary.limits_at);
+    cursor.record_answer(summary.at.boot, summary.limits_at);
     let before = state.limits.throttle.borrow().version();
     limits::merge_reported(state, summary.limits.iter().filter_map(|limit| from_wire(limit, now)));
-    cursor.learned(before, state.limits.throttle.borrow().version());
+    cursor.skip_learned(before, state.limits.throttle.borrow().version());
     limits::add_permits(state, &summary.permits);
 }
 
-/// Takes in what a node or another seed reports, and adds to its answer what it may not know. Nodes get
-/// permits as well.
-pub(super) fn answer<S: Site>(
+/// Merges the limits that a node or another seed reports, and adds to the answer those that it may not have.
+/// `permits` are for nodes only; a seed gets none.
+pub(super) fn add_to_summary<S: Site>(
     state: &State<S>,
     (reported, known): (&[Limit], u64),
     at: Option<Position>,
@@ -52,7 +57,7 @@
     Summary { limits: to_wire(&named, now), limits_at, permits, ..summary }
 }
 
-/// Limits as they go to other nodes: their clocks differ, so times are ages.
+/// Limits in the form in which they are sent. Times are sent as ages, since the clocks of nodes differ.
 fn to_wire(named: &[Named], now: Instant) -> Vec<Limit> {
     let limit = |named: &Named| {
         let age = now.saturating_duration_since(named.at).as_millis();
@@ -65,7 +70,7 @@
     named.iter().map(limit).collect()
 }
 
-/// A limit that another node received; none if it is older than this node's clock can tell.
+/// A limit from another node; none if it is older than this node's clock can represent.
 fn from_wire(limit: &Limit, now: Instant) -> Option<Named> {
     let at = now.checked_sub(Duration::from_millis(limit.age_ms.into()))?;
     let rate = limit.rate.map(|rate| f64::from(rate) / RATE_SECONDS);
--- a/components/forward/src/gossip/seeds.rs
+++ b/components/forward/src/gossip/seeds.rs
@@ -1,54 +1,59 @@
-//! Which seed a node reports to.
+//! Chooses the seed that a node reports to.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// Times that a seed is measured before others are chosen by the figure: a first call connects, and finds
-/// a seed that may only be starting.
+/// Number of answers of each seed before seeds are compared by latency: the first call also sets up the
+/// connection, and may meet a seed that is still starting.
 const PROBES: u32 = 3;
-/// A seed that gave no answer is tried again after this.
-const UNRESPONSIVE: Duration = Duration::from_secs(2);
+/// Time after which a seed that didn't answer is tried again.
+const RETRY_AFTER: Duration = Duration::from_secs(2);
 
-/// A seed as seen from one node.
+/// A seed as seen from this node.
 #[derive(Debug)]
 struct Seed {
     address: SocketAddr,
-    /// How often it answered.
+    /// Number of its answers.
     answers: u32,
-    /// The least time in which it did; none at all before the first time.
-    took: Duration,
-    /// It gave no answer, and isn't asked before then.
-    unresponsive: Option<Instant>,
+    /// Shortest time from a report to its answer; zero before the first answer.
+    latency: Duration,
+    /// When it is tried again after it didn't answer; none if it did.
+    retry_at: Option<Instant>,
 }
 
-/// The seeds that a node may report to. Settings don't say which of them stands in the node's region, and
-/// traffic to another is paid by volume: the one that answers soonest is the nearest.
+/// The seeds that this node may report to. Settings don't say which of them is in the node's region, and
+/// traffic to another region is paid for by volume. The seed with the lowest latency is taken for the nearest.
 #[derive(Debug)]
 pub(crate) struct Seeds(Vec<Seed>);
 
 impl Seeds {
     pub(crate) fn new(seeds: Vec<SocketAddr>) -> Self {
-        let seed = |address| Seed { address, answers: 0, took: Duration::ZERO, unresponsive: None };
+        let seed = |address| Seed { address, answers: 0, latency: Duration::ZERO, retry_at: None };
         Seeds(seeds.into_iter().map(seed).collect())
     }
 
-    /// The nearest that isn't unresponsive, once each of them was measured; else the one that is tried again
-    /// first.
+    /// The seed to report to: one that has fewer than [`PROBES`] answers, else the nearest. Seeds that didn't
+    /// answer come last, the one that is tried again first before the others; none if there are no seeds.
     pub(crate) fn nearest(&self, now: Instant) -> Option<SocketAddr> {
         let order = |seed: &&Seed| {
-            let unresponsive = seed.unresponsive.filter(|until| now < *until);
-            (unresponsive, seed.answers.min(PROBES), seed.took)
+            let unresponsive = seed.retry_at.filter(|until| now < *until);
+            (unresponsive, seed.answers.min(PROBES), seed.latency)
         };
         self.0.iter().min_by_key(order).map(|seed| seed.address)
     }
 
-    /// Notes in what time a seed answered; none if it didn't.
-    pub(crate) fn answered(&mut self, address: SocketAddr, took: Option<Duration>, now: Instant) {
+    /// Records the time that a seed took to answer; none if it didn't answer.
+    pub(crate) fn record_answer(
+        &mut self,
+        address: SocketAddr,
+        latency: Option<Duration>,
+        now: Instant,
+    ) {
         let Some(seed) = self.0.iter_mut().find(|seed| seed.address == address) else { return };
-        seed.unresponsive = took.is_none().then_some(now + UNRESPONSIVE);
-        if let Some(took) = took {
+        seed.retry_at = latency.is_none().then_some(now + RETRY_AFTER);
+        if let Some(latency) = latency {
             seed.answers = seed.answers.saturating_add(1);
-            seed.took = if seed.took.is_zero() { took } else { took.min(seed.took) };
+            seed.latency = if seed.latency.is_zero() { latency } else { latency.min(seed.latency) };
         }
     }
 }
--- a/components/forward/src/gossip/seeds/tests.rs
+++ b/components/forward/src/gossip/seeds/tests.rs
@@ -1,10 +1,10 @@
 use std::time::{Duration, Instant};
 
-use super::{PROBES, Seeds, UNRESPONSIVE};
+use super::{PROBES, RETRY_AFTER, Seeds};
 
-/// One of three seeds stands in the node's region, and later it is gone for a while. The node reports to
-/// the nearest that answers; across the regions each call would be paid for, and a seed that is gone would
-/// leave it without answers.
+/// One of three seeds is in the node's region, and later it is gone for a while. The node reports to the nearest
+/// seed that answers: each call to another region is paid for, and a seed that is gone would leave the node
+/// without answers.
 #[test]
 fn the_nearest_seed_that_answers_gets_the_reports() {
     let address = |port: u16| std::net::SocketAddr::from(([10, 0, 0, 1], port));
@@ -12,25 +12,25 @@
     let (mut seeds, now) = (Seeds::new(vec![far, near, gone]), Instant::now());
     for (seed, millis) in [(far, Some(16)), (near, Some(2)), (gone, None)] {
         assert_eq!(seeds.nearest(now), Some(seed), "each is tried once");
-        seeds.answered(seed, millis.map(Duration::from_millis), now);
+        seeds.record_answer(seed, millis.map(Duration::from_millis), now);
     }
     for (seed, millis) in [(near, 2), (far, 16)].repeat(PROBES as usize - 1) {
-        assert_eq!(seeds.nearest(now), Some(seed), "each is measured as often");
-        seeds.answered(seed, Some(Duration::from_millis(millis)), now);
+        assert_eq!(seeds.nearest(now), Some(seed), "each is tried as often");
+        seeds.record_answer(seed, Some(Duration::from_millis(millis)), now);
     }
     assert_eq!(seeds.nearest(now), Some(near));
-    seeds.answered(near, None, now);
+    seeds.record_answer(near, None, now);
     assert_eq!(seeds.nearest(now), Some(far));
-    seeds.answered(far, None, now + Duration::from_millis(1));
-    assert_eq!(seeds.nearest(now), Some(gone), "the one that was unresponsive first");
-    let later = now + UNRESPONSIVE;
-    seeds.answered(gone, None, later);
+    seeds.record_answer(far, None, now + Duration::from_millis(1));
+    assert_eq!(seeds.nearest(now), Some(gone), "the one that is due for a retry first");
+    let later = now + RETRY_AFTER;
+    seeds.record_answer(gone, None, later);
     assert_eq!(seeds.nearest(later), Some(near), "tried again");
 }
 
-/// A whole fleet starts at once. The seed of a node's own region is still starting and takes longer to answer
-/// for the first time than one across a narrow link. Judged by that once, a third of a fleet reported across
-/// the link for the rest of the day, which is paid for by volume.
+/// A whole fleet starts at once. The seed of a node's own region is still starting, and its first answer takes
+/// longer than that of a seed across a narrow link. If the choice went by the first answer, a third of the fleet
+/// would go on reporting across the link, which is paid for by volume.
 #[test]
 fn one_slow_answer_at_the_start_doesnt_decide() {
     let address = |port: u16| std::net::SocketAddr::from(([10, 0, 0, 1], port));
@@ -45,7 +45,7 @@
         } else {
             2
         };
-        seeds.answered(seed, Some(Duration::from_millis(millis)), now);
+        seeds.record_answer(seed, Some(Duration::from_millis(millis)), now);
     }
     assert_eq!(seeds.nearest(now), Some(near));
 }
--- a/components/forward/src/gossip/suspects.rs
+++ b/components/forward/src/gossip/suspects.rs
@@ -1,8 +1,8 @@
-//! Exchange of the evidence against requests that servers crashed under.
+//! Exchanges the evidence against requests that may have crashed backend servers, between nodes and seeds.
 //!
-//! A request that is held back at one node alone comes to the next. Nodes report each suspicion to their seed,
-//! which passes on those that two crashes support: one crash is no reason to hold anything back, and a loss of
-//! many servers makes hundreds of them.
+//! A request that is quarantined at one node only is sent through another one. Nodes report every suspect to
+//! their seed, which passes on to nodes those with at least two crashes. A single crash is no reason to
+//! quarantine a request, and a loss of many servers makes hundreds of such suspects.
 
 use std::time::{Duration, Instant};
 
@@ -14,29 +14,33 @@
 use crate::site::Site;
 use crate::state::State;
 
-/// Crashes from which on a suspicion is passed on to nodes.
+/// Number of crashes from which on a suspect is passed on to nodes.
 const NODE_THRESHOLD: usize = 2;
 
-/// Adds to a report what the seed may not know, and asks for the rest.
-pub(super) fn report<S: Site>(state: &State<S>, cursor: &mut Cursor, report: Report) -> Report {
+/// Adds to a report the evidence that the seed may not have, and the version up to which the node has the seed's.
+pub(super) fn add_to_report<S: Site>(
+    state: &State<S>,
+    cursor: &mut Cursor,
+    report: Report,
+) -> Report {
     let (now, quarantine) = (state.clock.now(), state.crashes.quarantine.borrow());
-    let (evidence, version) = quarantine.since(cursor.reported(), 1);
-    cursor.report(version);
+    let (evidence, version) = quarantine.since(cursor.acknowledged(), 1);
+    cursor.begin_report(version);
     let suspects = evidence.iter().map(|evidence| to_wire(evidence, now)).collect();
     Report { suspects, suspects_known: cursor.received(), ..report }
 }
 
-/// Takes in a seed's answer.
-pub(super) fn answered<S: Site>(state: &State<S>, cursor: &mut Cursor, summary: &Summary) {
-    cursor.answered(summary.at.boot, summary.suspects_at);
+/// Merges the evidence in a seed's answer.
+pub(super) fn apply_summary<S: Site>(state: &State<S>, cursor: &mut Cursor, summary: &Summary) {
+    cursor.record_answer(summary.at.boot, summary.suspects_at);
     let mut quarantine = state.crashes.quarantine.borrow_mut();
     let before = quarantine.version();
-    learn(&mut quarantine, &summary.suspects, state.clock.now());
-    cursor.learned(before, quarantine.version());
+    merge_evidence(&mut quarantine, &summary.suspects, state.clock.now());
+    cursor.skip_learned(before, quarantine.version());
 }
 
-/// Takes in what a node reports, and adds to its answer what it may not know.
-pub(super) fn answer<S: Site>(
+/// Merges the evidence that a node or another seed reports, and adds to the answer what it may not have.
+pub(super) fn add_to_summary<S: Site>(
     state: &State<S>,
     (suspects, known): (&[Suspect], u64),
     at: Option<Position>,
@@ -45,15 +49,15 @@
 ) -> Summary {
     let now = state.clock.now();
     let mut quarantine = state.crashes.quarantine.borrow_mut();
-    learn(&mut quarantine, suspects, now);
+    merge_evidence(&mut quarantine, suspects, now);
     let known = at.filter(|at| at.boot == summary.at.boot).map_or(0, |_| known);
-    let least = if from_seed { 1 } else { NODE_THRESHOLD };
-    let (evidence, suspects_at) = quarantine.since(known, least);
+    let min_crashes = if from_seed { 1 } else { NODE_THRESHOLD };
+    let (evidence, suspects_at) = quarantine.since(known, min_crashes);
     let suspects = evidence.iter().map(|evidence| to_wire(evidence, now)).collect();
     Summary { suspects, suspects_at, ..summary }
 }
 
-fn learn(quarantine: &mut Quarantine, suspects: &[Suspect], now: Instant) {
+fn merge_evidence(quarantine: &mut Quarantine, suspects: &[Suspect], now: Instant) {
     for suspect in suspects {
         if let Some(evidence) = from_wire(suspect, now) {
             quarantine.learn(evidence, now);
@@ -61,7 +65,7 @@
     }
 }
 
-/// Evidence as it goes to other nodes: their clocks differ, so times are ages.
+/// Evidence in the form in which it is sent. Times are sent as ages, since the clocks of nodes differ.
 fn to_wire(evidence: &Evidence, now: Instant) -> Suspect {
     let age = |at: Instant| {
         let age = now.saturating_duration_since(at).as_millis();
@@ -79,7 +83,7 @@
     }
 }
 
-/// Evidence from another node; none if it is older than this node's clock can tell.
+/// Evidence from another node; none if it is older than this node's clock can represent.
 fn from_wire(suspect: &Suspect, now: Instant) -> Option<Evidence> {
     let at = |ms: u32| now.checked_sub(Duration::from_millis(ms.into()));
     let crash = |crash: &gossip::Crash| {
