--- a/components/forward/src/gossip.rs
+++ b/components/forward/src/gossip.rs
@@ -1,10 +1,12 @@
-//! Nodes report to each other what they have at engines, so that each of them sends by what all have sent.
-//! The decisions that it serves are in `policy::backlog`, `policy::places` and `policy::cache`.
+//! Exchanges between nodes what each of them has at engines, so that every node's decisions take the load of all
+//! nodes into account.
 //!
-//! Nodes know each other only by the seeds of their settings. Each other node reports to a seed several
-//! times a second, and is answered with what changed at all others; seeds ask each other. A seed says how
-//! soon to come back, so that its link isn't filled by a fleet of hundreds. Nothing depends on it: a node
-//! that hears nothing goes by its own requests.
+//! The decisions that use it are in `policy::backlog`, `policy::places` and `policy::cache`.
+//!
+//! Nodes know each other only by the seeds in their settings. Every other node reports to a seed several times a
+//! second, and the answer contains what changed at all other nodes; seeds ask each other. A seed sets the pause
+//! before a node's next report, so that a fleet of hundreds doesn't fill the seed's link. Nothing depends on the
+//! exchange: a node that gets no answer decides by its own requests.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -30,101 +32,103 @@
 use cursor::Cursor;
 use pace::Pace;
 use seeds::Seeds;
-use table::{Hub, Sent, View};
+use table::{Aggregate, SentReports, View};
 
 /// Path at which nodes report to a seed.
 pub(crate) const NODE_PATH: &str = "/gossip";
 /// Path at which seeds ask each other.
 pub(crate) const SEED_PATH: &str = "/gossip/seeds";
-/// Time between two calls of a node at least: a long prompt takes an engine about as long to read.
-const PAUSE: Duration = Duration::from_millis(150);
-/// Time between two questions of a seed to another.
+/// Shortest pause between two reports of a node: an engine takes about as long to prefill a long prompt.
+const MIN_REPORT_PAUSE: Duration = Duration::from_millis(150);
+/// Pause between two calls of a seed to another.
 const SEED_PAUSE: Duration = Duration::from_millis(100);
-/// Time in which a seed answers, the way between two regions and back several times over.
-const ANSWER: Duration = Duration::from_millis(300);
-/// Time for which a report counts, in pauses of its node: one call may be lost.
-const COUNTS: u32 = 3;
+/// Time within which a seed must answer: several round trips between two regions.
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(300);
+/// Time for which a report counts, as a multiple of the pause between reports: one report may be lost.
+const LIFETIME_PAUSES: u32 = 3;
 /// Milliseconds in a second.
-const MILLIS: f64 = 1_000.0;
-/// Rates are reported as requests in so many seconds, in whole numbers.
-const RATE_SECONDS: f64 = 10.0;
-/// Part of an engine's places from which on those that are taken are passed on: below, nobody waits for one.
-const CROWDED: f64 = 0.5;
-/// Largest report that is read, in bytes.
-const LARGEST_REPORT: usize = 256 << 10;
-/// Largest summary that is read, in bytes: some thousands of engines.
-const LARGEST_SUMMARY: usize = 1 << 20;
+const MS_PER_S: f64 = 1_000.0;
+/// Time in seconds over which rates of requests are reported: on the wire they are whole numbers.
+const SENDS_SECONDS: f64 = 10.0;
+/// Part of an engine's slots from which on the number of occupied ones is passed on. Below it nobody waits for
+/// a slot.
+const CROWDED_PART: f64 = 0.5;
+/// Largest report in bytes.
+const MAX_REPORT_BYTES: usize = 256 << 10;
+/// Largest summary in bytes: some thousands of engines.
+const MAX_SUMMARY_BYTES: usize = 1 << 20;
 
-/// The state of a node's exchange with others.
+/// State of a node's exchange with other nodes.
 #[derive(Debug)]
 pub(crate) struct Gossip {
-    /// What this node knows as a seed.
-    hub: RefCell<Hub>,
+    /// What this node aggregates as a seed.
+    aggregate: RefCell<Aggregate>,
     pace: RefCell<Pace>,
 }
 
 impl Gossip {
-    /// For a node whose process has a random number and whose link carries so many bytes a second.
+    /// The state of a node that starts. `boot` is a random number that identifies its process; its link carries
+    /// `link_bytes` per second.
     pub(crate) fn new(boot: u32, link_bytes: f64) -> Self {
         Gossip {
-            hub: RefCell::new(Hub::new(boot)),
-            pace: RefCell::new(Pace::new(PAUSE, link_bytes)),
+            aggregate: RefCell::new(Aggregate::new(boot)),
+            pace: RefCell::new(Pace::new(MIN_REPORT_PAUSE, link_bytes)),
         }
     }
 }
 
-/// Starts the task; it ends with the node.
+/// Starts the tasks; they end with the node.
 pub(crate) fn start<S: Site>(state: &Rc<State<S>>) {
     if state.is_seed() {
         for seed in state.exchanged() {
-            actix_rt::spawn(ask_seed(Rc::downgrade(state), seed));
+            actix_rt::spawn(poll_seed(Rc::downgrade(state), seed));
         }
-        actix_rt::spawn(as_seed(Rc::downgrade(state)));
+        actix_rt::spawn(run_seed(Rc::downgrade(state)));
     } else {
-        actix_rt::spawn(as_node(Rc::downgrade(state)));
+        actix_rt::spawn(run_node(Rc::downgrade(state)));
     }
 }
 
-/// Reports to a seed, and takes in what it answers; goes on to another where it doesn't.
-async fn as_node<S: Site>(weak: Weak<State<S>>) {
+/// Reports to a seed again and again and applies its answers; changes to another seed if one doesn't answer.
+async fn run_node<S: Site>(weak: Weak<State<S>>) {
     let Some(mut seeds) = weak.upgrade().map(|state| Seeds::new(state.seeds())) else { return };
-    let (mut view, mut sent, mut last) = (View::default(), Sent::default(), None);
-    let (mut suspicions, mut limited) = (Cursor::default(), Cursor::default());
+    let (mut view, mut sent, mut last) = (View::default(), SentReports::default(), None);
+    let (mut suspect_cursor, mut limit_cursor) = (Cursor::default(), Cursor::default());
     while let Some(state) = weak.upgrade() {
         let asked = state.clock.now();
         let Some(seed) = seeds.nearest(asked) else {
             crate::limits::issue_without_seeds(&state);
             drop(state);
-            tokio::time::sleep(PAUSE).await;
+            tokio::time::sleep(MIN_REPORT_PAUSE).await;
             continue;
         };
         if last.replace(seed) != Some(seed) {
             view = View::default();
-            (suspicions, limited) = (Cursor::default(), Cursor::default());
+            (suspect_cursor, limit_cursor) = (Cursor::default(), Cursor::default());
         }
-        let report = own_report(&state, &mut sent, view.at());
-        let report = suspects::add_to_report(&state, &mut suspicions, report);
-        let report = limits::add_to_report(&state, &mut limited, report);
-        let answer = call(&state, seed, NODE_PATH, report).await;
+        let report = own_report(&state, &mut sent, view.position());
+        let report = suspects::add_to_report(&state, &mut suspect_cursor, report);
+        let report = limits::add_to_report(&state, &mut limit_cursor, report);
+        let answer = post_report(&state, seed, NODE_PATH, report).await;
         let now = state.clock.now();
-        let took = answer.as_ref().ok().map(|_| now.saturating_duration_since(asked));
-        seeds.record_answer(seed, took, now);
+        let latency = answer.as_ref().ok().map(|_| now.saturating_duration_since(asked));
+        seeds.record_answer(seed, latency, now);
         let pause = match answer {
             Ok(summary) => {
-                let pause = Duration::from_millis(summary.pause_ms.into()).max(PAUSE);
-                take_parts(&state, &summary.parts);
-                suspects::apply_summary(&state, &mut suspicions, &summary);
-                limits::apply_summary(&state, &mut limited, &summary);
+                let pause = Duration::from_millis(summary.pause_ms.into()).max(MIN_REPORT_PAUSE);
+                apply_cached_parts(&state, &summary.parts);
+                suspects::apply_summary(&state, &mut suspect_cursor, &summary);
+                limits::apply_summary(&state, &mut limit_cursor, &summary);
                 state.limits.record_seed_answer(now);
                 view.apply(summary, now);
-                let (loads, sends) = sent.others(&view, now);
-                take(&state, &loads, &sends);
+                let (loads, sends) = sent.subtract_own(&view, now);
+                apply_others(&state, &loads, &sends);
                 pause
             }
             Err(cause) => {
-                log::debug!(cause = cause.as_str(); "a seed took no report");
+                log::debug!(cause = cause.as_str(); "failed to report to a seed");
                 crate::limits::issue_without_seeds(&state);
-                PAUSE
+                MIN_REPORT_PAUSE
             }
         };
         drop(state);
@@ -132,72 +136,74 @@
     }
 }
 
-/// Sums what nodes report and other seeds know, for this node's own decisions too.
-async fn as_seed<S: Site>(weak: Weak<State<S>>) {
-    let (mut view, mut sent) = (View::default(), Sent::default());
+/// Sums again and again what nodes report and other seeds know, and applies the sums to this seed's own decisions.
+async fn run_seed<S: Site>(weak: Weak<State<S>>) {
+    let (mut view, mut sent) = (View::default(), SentReports::default());
     while let Some(state) = weak.upgrade() {
         let now = state.clock.now();
         let name = state.node().name.clone();
         let report = own_report(&state, &mut sent, None);
-        state.gossip.hub.borrow_mut().report(report, now);
-        refresh(&state);
-        let summary = state.gossip.hub.borrow().fleet(&name, view.at(), now);
-        take_parts(&state, &summary.parts);
+        state.gossip.aggregate.borrow_mut().add_report(report, now);
+        refresh_sums(&state);
+        let summary = state.gossip.aggregate.borrow().fleet_summary(&name, view.position(), now);
+        apply_cached_parts(&state, &summary.parts);
         view.apply(summary, now);
-        let (loads, sends) = sent.others(&view, now);
-        take(&state, &loads, &sends);
-        let permits = issue(&state);
+        let (loads, sends) = sent.subtract_own(&view, now);
+        apply_others(&state, &loads, &sends);
+        let permits = issue_permits(&state);
         crate::limits::add_permits(&state, &permits);
         drop(state);
-        tokio::time::sleep(PAUSE).await;
+        tokio::time::sleep(MIN_REPORT_PAUSE).await;
     }
 }
 
-/// Asks another seed for what changed in its cluster.
-async fn ask_seed<S: Site>(weak: Weak<State<S>>, seed: SocketAddr) {
-    let (name, mut suspicions, mut limited) =
+/// Asks another seed again and again for what changed in its cluster.
+async fn poll_seed<S: Site>(weak: Weak<State<S>>, seed: SocketAddr) {
+    let (name, mut suspect_cursor, mut limit_cursor) =
         (seed.to_string(), Cursor::default(), Cursor::default());
     while let Some(state) = weak.upgrade() {
-        let known = state.gossip.hub.borrow().seed(&name);
+        let known = state.gossip.aggregate.borrow().seed_position(&name);
         let report = Report { from: state.node().name.clone(), known, ..Report::default() };
-        let report = suspects::add_to_report(&state, &mut suspicions, report);
-        let report = limits::add_to_report(&state, &mut limited, report);
-        let answer = call(&state, seed, SEED_PATH, report).await;
+        let report = suspects::add_to_report(&state, &mut suspect_cursor, report);
+        let report = limits::add_to_report(&state, &mut limit_cursor, report);
+        let answer = post_report(&state, seed, SEED_PATH, report).await;
         let now = state.clock.now();
         match answer {
             Ok(summary) => {
-                suspects::apply_summary(&state, &mut suspicions, &summary);
-                limits::apply_summary(&state, &mut limited, &summary);
-                let parts = state.gossip.hub.borrow_mut().learn(&name, summary, now);
-                take_parts(&state, &parts);
+                suspects::apply_summary(&state, &mut suspect_cursor, &summary);
+                limits::apply_summary(&state, &mut limit_cursor, &summary);
+                let parts =
+                    state.gossip.aggregate.borrow_mut().apply_seed_summary(&name, summary, now);
+                apply_cached_parts(&state, &parts);
             }
-            Err(cause) => log::debug!(cause = cause.as_str(); "a seed gave no answer"),
+            Err(cause) => log::debug!(cause = cause.as_str(); "another seed gave no answer"),
         }
         drop(state);
         tokio::time::sleep(SEED_PAUSE).await;
     }
 }
 
-async fn call<S: Site>(
+/// Sends a report to a seed; returns its answer, or the cause of the failure as a text.
+async fn post_report<S: Site>(
     state: &State<S>,
     seed: SocketAddr,
     path: &str,
     report: Report,
 ) -> Result<Summary, String> {
-    let request = state.peers.post(format!("http://{seed}{path}")).timeout(ANSWER);
+    let request = state.peers.post(format!("http://{seed}{path}")).timeout(ANSWER_TIMEOUT);
     let sent = request.send_body(report.encode()).await;
     let mut response = sent.map_err(|cause| cause.to_string())?;
-    let body = response.body().limit(LARGEST_SUMMARY).await.map_err(|cause| cause.to_string())?;
+    let body = response.body().limit(MAX_SUMMARY_BYTES).await.map_err(|cause| cause.to_string())?;
     match response.status() {
         StatusCode::OK => Summary::decode(&body).map_err(|cause| cause.to_string()),
         status => Err(format!("seed {seed} answered with status {status}")),
     }
 }
 
-/// Answers a node or another seed.
+/// Answers the report of a node or another seed.
 pub(crate) async fn handle<S: Site>(state: &Rc<State<S>>, mut request: Request) -> Answer {
     let from_seed = request.path() == SEED_PATH;
-    let body = match listen::whole(&mut request, LARGEST_REPORT).await {
+    let body = match listen::whole(&mut request, MAX_REPORT_BYTES).await {
         Ok(body) => body,
         Err(unread) => return unread.answer(),
     };
@@ -207,20 +213,23 @@
     };
     let now = state.clock.now();
     let (from, known) = (report.from.clone(), report.known);
-    let (accused, suspects_known) = (std::mem::take(&mut report.suspects), report.suspects_known);
-    let (named, limits_known) = (std::mem::take(&mut report.limits), report.limits_known);
+    let (suspects, suspects_known) = (std::mem::take(&mut report.suspects), report.suspects_known);
+    let (limits, limits_known) = (std::mem::take(&mut report.limits), report.limits_known);
     if !from_seed {
-        state.gossip.hub.borrow_mut().report(report, now);
+        state.gossip.aggregate.borrow_mut().add_report(report, now);
     }
-    refresh(state);
-    let hub = state.gossip.hub.borrow();
-    let mut summary =
-        if from_seed { hub.cluster(known, now) } else { hub.fleet(&from, known, now) };
+    refresh_sums(state);
+    let aggregate = state.gossip.aggregate.borrow();
+    let mut summary = if from_seed {
+        aggregate.cluster_summary(known, now)
+    } else {
+        aggregate.fleet_summary(&from, known, now)
+    };
     summary =
-        suspects::add_to_summary(state, (&accused, suspects_known), known, from_seed, summary);
-    let permits = if from_seed { vec![] } else { issue(state) };
-    summary = limits::add_to_summary(state, (&named, limits_known), known, summary, permits);
-    summary.pause_ms = state.gossip.pace.borrow().pause(hub.nodes()).as_millis() as u32;
+        suspects::add_to_summary(state, (&suspects, suspects_known), known, from_seed, summary);
+    let permits = if from_seed { vec![] } else { issue_permits(state) };
+    summary = limits::add_to_summary(state, (&limits, limits_known), known, summary, permits);
+    summary.pause_ms = state.gossip.pace.borrow().pause(aggregate.node_count()).as_millis() as u32;
     let body = summary.encode();
     if !from_seed && !summary.whole {
         state.gossip.pace.borrow_mut().record_answer(body.len());
@@ -228,99 +237,107 @@
     Response::build(StatusCode::OK).body(body).map_into_boxed_body()
 }
 
-/// Permits for one of this seed's nodes. Each seed hands out an equal part, so that together they keep to
-/// what servers take though they can't reach each other.
-fn issue<S: Site>(state: &State<S>) -> Vec<(u32, u32)> {
+/// Issues permits to one of this seed's nodes. Each seed issues an equal part of a limit, so that all seeds
+/// together keep to it even while they can't reach each other.
+fn issue_permits<S: Site>(state: &State<S>) -> Vec<(u32, u32)> {
     let issuers = state.node().seeds.len().max(1) as f64;
-    let nodes = state.gossip.hub.borrow().nodes();
+    let nodes = state.gossip.aggregate.borrow().node_count();
     state.limits.issue(issuers, nodes, state.clock.now())
 }
 
-/// Sums all reports anew. Engines at which nobody waits and most places are free aren't worth telling.
-fn refresh<S: Site>(state: &State<S>) {
+/// Sums all reports again. Nodes aren't sent the occupied slots of an engine below [`CROWDED_PART`], nor an
+/// engine at which there is nothing else to report.
+fn refresh_sums<S: Site>(state: &State<S>) {
     let (names, scheduler) = (state.names.borrow(), state.turns.scheduler.borrow());
-    let worth = |mut load: Load| {
+    let to_report = |mut load: Load| {
         let slots = names.keyed(load.server).and_then(|server| scheduler.slots(server));
-        let taken: u32 = load.taken.iter().sum();
-        if f64::from(taken) < f64::from(slots.unwrap_or_default()) * CROWDED {
+        let occupied: u32 = load.taken.iter().sum();
+        if f64::from(occupied) < f64::from(slots.unwrap_or_default()) * CROWDED_PART {
             load.taken.clear();
         }
-        let some = [&load.reading_ms, &load.overdue_ms, &load.taken];
-        some.iter().any(|amounts| !amounts.is_empty()).then_some(load)
+        let amounts = [&load.reading_ms, &load.overdue_ms, &load.taken];
+        amounts.iter().any(|amounts| !amounts.is_empty()).then_some(load)
     };
-    let mut hub = state.gossip.hub.borrow_mut();
-    let counts = state.gossip.pace.borrow().pause(hub.nodes()) * COUNTS;
-    hub.refresh(counts, worth, state.clock.now());
+    let mut aggregate = state.gossip.aggregate.borrow_mut();
+    let lifetime = state.gossip.pace.borrow().pause(aggregate.node_count()) * LIFETIME_PAUSES;
+    aggregate.refresh(lifetime, to_report, state.clock.now());
 }
 
-/// What this node has at engines.
-fn own_report<S: Site>(state: &State<S>, sent: &mut Sent, known: Option<Position>) -> Report {
-    let (loads, parts, sends) = (own(state), own_parts(state), own_sends(state));
-    let number = sent.add(loads.clone(), sends.clone());
+/// This node's next report. `known` is its position in the seed's table.
+fn own_report<S: Site>(
+    state: &State<S>,
+    sent: &mut SentReports,
+    known: Option<Position>,
+) -> Report {
+    let (loads, parts, sends) = (own_loads(state), own_cached_parts(state), own_sends(state));
+    let number = sent.record(loads.clone(), sends.clone());
     let from = state.node().name.clone();
     Report { from, number, known, loads, parts, sends, ..Report::default() }
 }
 
-/// What this node's prompts take engines to read.
-fn own<S: Site>(state: &State<S>) -> Vec<Load> {
+/// Load of this node's requests at engines.
+fn own_loads<S: Site>(state: &State<S>) -> Vec<Load> {
     let backlogs = state.turns.scheduler.borrow().backlogs(state.clock.now());
     let names = state.names.borrow();
     let load = |backlog: Backlog| {
         Some(Load {
             server: wire::key(&names.server(backlog.server)?.name),
-            reading_ms: by_rank(&backlog.reading, MILLIS),
-            overdue_ms: by_rank(&backlog.overdue, MILLIS),
-            taken: by_rank(&backlog.taken, 1.0),
+            reading_ms: to_whole_units(&backlog.reading, MS_PER_S),
+            overdue_ms: to_whole_units(&backlog.overdue, MS_PER_S),
+            taken: to_whole_units(&backlog.taken, 1.0),
             begun_ms: backlog.begun.map(|age| age.as_millis().try_into().unwrap_or(u32::MAX)),
         })
     };
     backlogs.into_iter().filter_map(load).collect()
 }
 
-/// Requests that this node sends to engines in ten seconds, by rank.
+/// Requests that this node sends to engines in ten seconds, by priority.
 fn own_sends<S: Site>(state: &State<S>) -> Vec<u32> {
-    by_rank(&state.turns.scheduler.borrow().sends(state.clock.now()), RATE_SECONDS)
+    to_whole_units(&state.turns.scheduler.borrow().sends(state.clock.now()), SENDS_SECONDS)
 }
 
-/// Amounts by rank in a smaller unit; ranks at the end that have none are left out.
-fn by_rank(amounts: &[f64], units: f64) -> Vec<u32> {
-    let mut ranked: Vec<_> = amounts.iter().map(|amount| (amount * units).round() as u32).collect();
-    let used = ranked.iter().rposition(|amount| *amount > 0).map_or(0, |last| last + 1);
-    ranked.truncate(used);
-    ranked
+/// Amounts by priority, rounded to a smaller unit of which so many make one. Priorities at the end without an
+/// amount are left out.
+fn to_whole_units(amounts: &[f64], units: f64) -> Vec<u32> {
+    let mut rounded: Vec<_> =
+        amounts.iter().map(|amount| (amount * units).round() as u32).collect();
+    let used = rounded.iter().rposition(|amount| *amount > 0).map_or(0, |last| last + 1);
+    rounded.truncate(used);
+    rounded
 }
 
-/// Parts of prompts that this node saw engines keep, that others haven't heard of.
-fn own_parts<S: Site>(state: &State<S>) -> Vec<(u32, u64)> {
+/// Parts of prompts that engines cache by this node's requests and that other nodes may not know of: the key of
+/// the engine's name, and the part.
+fn own_cached_parts<S: Site>(state: &State<S>) -> Vec<(u32, u64)> {
     let updates = state.turns.scheduler.borrow_mut().cached(state.clock.now());
     let names = state.names.borrow();
     let row = |cached: Cached| Some((wire::key(&names.server(cached.server)?.name), cached.part));
     updates.into_iter().filter_map(row).collect()
 }
 
-/// Takes in what others saw engines keep.
-fn take_parts<S: Site>(state: &State<S>, parts: &[(u32, u64)]) {
+/// Hands the parts that other nodes report as cached to the scheduler.
+fn apply_cached_parts<S: Site>(state: &State<S>, parts: &[(u32, u64)]) {
     let names = state.names.borrow();
     let cached = |row: &(u32, u64)| Some(Cached { server: names.keyed(row.0)?, part: row.1 });
     let reported = parts.iter().filter_map(cached);
     state.turns.scheduler.borrow_mut().set_cached(reported, state.clock.now());
 }
 
-/// Takes in what all other nodes' requests take of engines, and how many they send.
-fn take<S: Site>(state: &State<S>, loads: &[Load], sends: &[u32]) {
+/// Hands the load of all other nodes at engines and their rates of requests to the scheduler.
+fn apply_others<S: Site>(state: &State<S>, loads: &[Load], sends: &[u32]) {
     let names = state.names.borrow();
-    let seconds = |ms: &u32| f64::from(*ms) / MILLIS;
+    let seconds = |ms: &u32| f64::from(*ms) / MS_PER_S;
     let backlog = |load: &Load| {
         Some(Backlog {
             server: names.keyed(load.server)?,
             reading: load.reading_ms.iter().map(seconds).collect(),
             overdue: load.overdue_ms.iter().map(seconds).collect(),
-            taken: load.taken.iter().map(|places| f64::from(*places)).collect(),
+            taken: load.taken.iter().map(|slots| f64::from(*slots)).collect(),
             begun: load.begun_ms.map(|ms| Duration::from_millis(ms.into())),
         })
     };
     let backlogs: Vec<_> = loads.iter().filter_map(backlog).collect();
-    let sends: Vec<_> = sends.iter().map(|sends| f64::from(*sends) / RATE_SECONDS).collect();
+    let sends: Vec<_> = sends.iter().map(|sends| f64::from(*sends) / SENDS_SECONDS).collect();
     let (mut scheduler, now) = (state.turns.scheduler.borrow_mut(), state.clock.now());
     scheduler.set_backlogs(&backlogs, now);
     scheduler.set_sends(&sends, now);
--- a/components/forward/src/gossip/table.rs
+++ b/components/forward/src/gossip/table.rs
@@ -1,45 +1,48 @@
-//! What a seed knows of engines from all nodes, and what of it each node lacks.
+//! Aggregates at a seed what all nodes report of engines, and computes the changes that each node lacks.
 //!
-//! Load pattern: hundreds of nodes, each of which sends a few requests a second to the same engines. What
-//! one of them knows of the others decides where its next request goes, and half a second later it is
-//! wrong. Sent whole to each node several times a second it would fill the seeds' links. So each row has
-//! the version at which it last changed by as much as matters, and a node is sent what is newer than what
-//! it has: for the same bytes, knowledge several times as young.
+//! Load pattern: hundreds of nodes, each of which sends a few requests a second to the same engines. What a node
+//! knows of the others decides where its next request goes, and is out of date half a second later. Complete
+//! tables, sent to each node several times a second, would fill the seeds' links. So each row has the version
+//! at which it last changed noticeably, and a node is sent only the rows that are newer than its position. For
+//! the same number of bytes, its knowledge is several times as recent.
 //!
-//! A sum contains the report of the node that asks. The answer names that report, and the node takes it
-//! out again, so that all nodes are sent the same rows.
+//! A sum contains the report of the node that asks for it, so that all nodes can be sent the same rows. The
+//! answer names the number of that report, and the node subtracts it.
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::time::{Duration, Instant};
 
 use wire::gossip::{Load, Position, Report, Summary};
 
-/// Time between two sums of all reports.
-const REFRESH: Duration = Duration::from_millis(25);
-/// Change of the time that an engine has still to read, in ms, that is told; smaller ones move no choice.
+/// Shortest time from one sum over all reports to the next.
+const REFRESH_INTERVAL: Duration = Duration::from_millis(25);
+/// Smallest change of an engine's time to prefill, in ms, that is reported; smaller ones don't affect which
+/// engine a request is sent to.
 const NOTICEABLE_MS: u32 = 24;
-/// The same as a part of that time.
-const NOTICEABLE_PART: u32 = 3;
-/// Step in which the longest delay of a request is told, in ms.
+/// Smallest change that is reported as a part of that time: one third.
+const NOTICEABLE_DIVISOR: u32 = 3;
+/// Step in ms in which the longest delay of a request is reported.
 const DELAY_STEP_MS: u32 = 100;
-/// A begun answer is told again once what was told of it is so old, in ms.
-const BEGUN_MS: u32 = 300;
-/// Time for which a part is kept for nodes that haven't heard of it.
-const KEPT: Duration = Duration::from_secs(3);
-/// Time for which it is told that nothing is at an engine any more.
-const FORGOTTEN: Duration = Duration::from_secs(20);
-/// Parts that are kept at most.
-const PARTS: usize = 8_192;
-
-/// Rows by engine, each with the version at which it changed.
+/// Time in ms by which an engine's last begun answer must be newer than the one that was reported before it is
+/// reported again.
+const BEGUN_STEP_MS: u32 = 300;
+/// Time for which a cached part of a prompt is kept for nodes that haven't received it.
+const PART_LIFETIME: Duration = Duration::from_secs(3);
+/// Time for which the row of an engine with nothing to report is kept, so that nodes are sent that it is empty.
+const EMPTY_ROW_LIFETIME: Duration = Duration::from_secs(20);
+/// Largest number of cached parts that are kept.
+const MAX_PARTS: usize = 8_192;
+
+/// Load by engine and cached parts of prompts, each with the version at which it last changed.
 #[derive(Debug, Default)]
 pub(crate) struct Table {
     version: u64,
     rows: BTreeMap<u32, Row>,
-    parts: VecDeque<Seen>,
-    /// When each of the parts was last told.
-    told: HashMap<(u32, u64), Instant>,
-    /// Parts of versions up to this are forgotten.
+    /// Cached parts in the order of their versions.
+    parts: VecDeque<CachedPart>,
+    /// When each of the parts was added.
+    part_added: HashMap<(u32, u64), Instant>,
+    /// Rows and parts with versions up to this one may have been dropped.
     floor: u64,
 }
 
@@ -51,14 +54,15 @@
 }
 
 #[derive(Debug)]
-struct Seen {
+struct CachedPart {
     version: u64,
     at: Instant,
+    /// Key of the engine's name, and the part.
     part: (u32, u64),
 }
 
 impl Row {
-    /// The row as it is at a time: what was told of answers grows older.
+    /// The load at a later time: the age of the last begun answer has grown.
     fn aged(&self, now: Instant) -> Load {
         let age = now.saturating_duration_since(self.at).as_millis() as u32;
         let begun_ms = self.load.begun_ms.map(|begun| begun.saturating_add(age));
@@ -66,101 +70,104 @@
     }
 }
 
-/// Whether a row changed by as much as matters.
-fn changed(told: &Load, new: &Load) -> bool {
-    let noticeable =
-        |told: u32, new: u32| told.abs_diff(new) >= NOTICEABLE_MS.max(told / NOTICEABLE_PART);
+/// Whether a load differs noticeably from the one that was reported last.
+fn differs_noticeably(reported: &Load, new: &Load) -> bool {
+    let noticeable = |reported: u32, new: u32| {
+        reported.abs_diff(new) >= NOTICEABLE_MS.max(reported / NOTICEABLE_DIVISOR)
+    };
     let step = |ms: u32| ms.div_ceil(DELAY_STEP_MS);
-    let apart = |a: &[u32], b: &[u32], differ: &dyn Fn(u32, u32) -> bool| {
-        let at = |list: &[u32], rank: usize| list.get(rank).copied().unwrap_or(0);
-        (0..a.len().max(b.len())).any(|rank| differ(at(a, rank), at(b, rank)))
+    let any_differs = |a: &[u32], b: &[u32], differs: &dyn Fn(u32, u32) -> bool| {
+        let at = |list: &[u32], priority: usize| list.get(priority).copied().unwrap_or(0);
+        (0..a.len().max(b.len())).any(|priority| differs(at(a, priority), at(b, priority)))
     };
-    let begun = match (told.begun_ms, new.begun_ms) {
-        (Some(told), Some(new)) => told >= new.saturating_add(BEGUN_MS),
-        (told, new) => told.is_none() && new.is_some(),
+    let begun = match (reported.begun_ms, new.begun_ms) {
+        (Some(reported), Some(new)) => reported >= new.saturating_add(BEGUN_STEP_MS),
+        (reported, new) => reported.is_none() && new.is_some(),
     };
     begun
-        || apart(&told.reading_ms, &new.reading_ms, &noticeable)
-        || apart(&told.overdue_ms, &new.overdue_ms, &|a, b| step(a) != step(b))
-        || apart(&told.taken, &new.taken, &|a, b| a != b)
+        || any_differs(&reported.reading_ms, &new.reading_ms, &noticeable)
+        || any_differs(&reported.overdue_ms, &new.overdue_ms, &|a, b| step(a) != step(b))
+        || any_differs(&reported.taken, &new.taken, &|a, b| a != b)
 }
 
 impl Table {
-    /// Takes in the sums as they are now.
+    /// Updates the rows of engines whose sums differ noticeably. An engine without a sum has no load.
     pub(crate) fn update(&mut self, mut sums: HashMap<u32, Load>, now: Instant) {
         for server in self.rows.keys() {
             sums.entry(*server).or_insert_with(|| Load::none(*server));
         }
         let next = self.version + 1;
         for (server, load) in sums {
-            let told = self.rows.get(&server);
-            if told.is_none_or(|told| changed(&told.aged(now), &load)) {
+            let reported = self.rows.get(&server);
+            if reported.is_none_or(|reported| differs_noticeably(&reported.aged(now), &load)) {
                 self.rows.insert(server, Row { load, version: next, at: now });
                 self.version = next;
             }
         }
-        self.forget(now);
+        self.drop_empty_rows(now);
     }
 
-    /// Forgets engines that have had nothing to tell for a while.
-    fn forget(&mut self, now: Instant) {
+    /// Drops rows that have been empty for [`EMPTY_ROW_LIFETIME`].
+    fn drop_empty_rows(&mut self, now: Instant) {
         let floor = &mut self.floor;
         self.rows.retain(|_, row| {
-            let forgotten = row.load.is_none() && now >= row.at + FORGOTTEN;
-            *floor = (*floor).max(if forgotten { row.version } else { 0 });
-            !forgotten
+            let dropped = row.load.is_none() && now >= row.at + EMPTY_ROW_LIFETIME;
+            *floor = (*floor).max(if dropped { row.version } else { 0 });
+            !dropped
         });
     }
 
-    /// Takes in parts that engines were seen to cache.
+    /// Adds parts of prompts that engines cache, unless they were added recently, and drops old ones.
     pub(crate) fn add_parts(&mut self, parts: impl IntoIterator<Item = (u32, u64)>, now: Instant) {
         for part in parts {
-            if self.told.get(&part).is_some_and(|told| now < *told + KEPT) {
+            if self.part_added.get(&part).is_some_and(|added| now < *added + PART_LIFETIME) {
                 continue;
             }
-            self.told.insert(part, now);
+            self.part_added.insert(part, now);
             self.version += 1;
-            self.parts.push_back(Seen { version: self.version, at: now, part });
+            self.parts.push_back(CachedPart { version: self.version, at: now, part });
         }
         while let Some(oldest) = self.parts.front()
-            && (now >= oldest.at + KEPT || self.parts.len() > PARTS)
+            && (now >= oldest.at + PART_LIFETIME || self.parts.len() > MAX_PARTS)
         {
             self.floor = oldest.version;
-            self.told.remove(&oldest.part);
+            self.part_added.remove(&oldest.part);
             self.parts.pop_front();
         }
     }
 
-    /// What changed after a version; all there is for a node that knows nothing.
-    pub(crate) fn since(&self, version: Option<u64>, now: Instant) -> Summary {
+    /// Changes after a version; the whole table if there is none.
+    pub(crate) fn changes_since(&self, version: Option<u64>, now: Instant) -> Summary {
         let after = version.unwrap_or(0);
         let whole = version.is_none();
         let rows = self.rows.values().filter(|row| row.version > after);
         let rows = rows.map(|row| row.aged(now)).filter(|load| !whole || !load.is_none());
-        let first = self.parts.partition_point(|seen| seen.version <= after);
-        let parts = self.parts.range(first..).map(|seen| seen.part);
+        let first = self.parts.partition_point(|cached| cached.version <= after);
+        let parts = self.parts.range(first..).map(|cached| cached.part);
         let at = Position { boot: 0, version: self.version };
         Summary { at, whole, loads: rows.collect(), parts: parts.collect(), ..Summary::default() }
     }
 }
 
-/// What a node has of a seed's table.
+/// A node's copy of a seed's table.
 #[derive(Debug, Default)]
 pub(crate) struct View {
-    at: Option<Position>,
+    position: Option<Position>,
     rows: HashMap<u32, Row>,
+    /// Requests that all nodes send to engines in ten seconds, by priority.
     sends: Vec<u32>,
+    /// Number of this node's report that the sums contain.
     included: Option<u32>,
     received: Option<Instant>,
 }
 
 impl View {
-    /// Position up to which it has the table.
-    pub(crate) fn at(&self) -> Option<Position> {
-        self.at
+    /// Position up to which the copy contains the table.
+    pub(crate) fn position(&self) -> Option<Position> {
+        self.position
     }
 
-    /// Takes in what changed.
+    /// Applies the changes in a seed's answer.
     pub(crate) fn apply(&mut self, summary: Summary, now: Instant) {
         if summary.whole {
             self.rows.clear();
@@ -173,42 +180,42 @@
             let row = Row { load, version: summary.at.version, at: now };
             self.rows.insert(row.load.server, row);
         }
-        self.at = Some(summary.at);
+        self.position = Some(summary.at);
         (self.sends, self.included, self.received) = (summary.sends, summary.included, Some(now));
     }
 
-    /// Sums over all nodes.
+    /// Load of each engine as the sum over all nodes.
     pub(crate) fn loads(&self, now: Instant) -> impl Iterator<Item = Load> {
         self.rows.values().map(move |row| row.aged(now))
     }
 
-    /// Whether it was received at most so long ago.
-    fn fresh(&self, within: Duration, now: Instant) -> bool {
+    /// Whether an answer was received within the given time.
+    fn is_fresh(&self, within: Duration, now: Instant) -> bool {
         self.received.is_some_and(|received| now < received + within)
     }
 }
 
-/// A node's last reports, to take them out of the sums that contain them.
+/// A node's own last reports, to subtract them from the sums that contain them.
 #[derive(Debug, Default)]
-pub(crate) struct Sent {
+pub(crate) struct SentReports {
     number: u32,
     reports: VecDeque<(u32, Vec<Load>, Vec<u32>)>,
 }
 
-/// Reports that a sum may still contain.
-const REPORTS: usize = 8;
+/// Number of last reports that are kept, since a sum may contain any of them.
+const MAX_REPORTS: usize = 8;
 
-impl Sent {
-    /// Remembers a report; returns its number.
-    pub(crate) fn add(&mut self, loads: Vec<Load>, sends: Vec<u32>) -> u32 {
+impl SentReports {
+    /// Records a report; returns its number.
+    pub(crate) fn record(&mut self, loads: Vec<Load>, sends: Vec<u32>) -> u32 {
         self.number += 1;
-        self.reports.truncate(REPORTS - 1);
+        self.reports.truncate(MAX_REPORTS - 1);
         self.reports.push_front((self.number, loads, sends));
         self.number
     }
 
-    /// What a view says of all other nodes: engines, and requests sent in ten seconds.
-    pub(crate) fn others(&self, view: &View, now: Instant) -> (Vec<Load>, Vec<u32>) {
+    /// Load of engines by all other nodes, and requests that these send in ten seconds, by priority.
+    pub(crate) fn subtract_own(&self, view: &View, now: Instant) -> (Vec<Load>, Vec<u32>) {
         let mut sums: HashMap<u32, Load> =
             view.loads(now).map(|load| (load.server, load)).collect();
         let mut sends = view.sends.clone();
@@ -225,34 +232,36 @@
     }
 }
 
-/// A node's last report at a seed.
+/// The last report of a node at a seed.
 #[derive(Debug)]
-struct Entry {
+struct NodeReport {
     number: u32,
     loads: Vec<Load>,
     sends: Vec<u32>,
     at: Instant,
 }
 
-/// What a seed knows: the reports of the nodes that call it, which are its cluster, what other seeds know
-/// of theirs, and the sums of each.
+/// A seed's aggregate: the reports of the nodes that call it, which are its cluster, the sums of other seeds'
+/// clusters, and the sums over its own cluster and over the whole fleet.
 #[derive(Debug)]
-pub(crate) struct Hub {
+pub(crate) struct Aggregate {
+    /// Random number of the seed's process.
     boot: u32,
-    nodes: HashMap<String, Entry>,
+    nodes: HashMap<String, NodeReport>,
     seeds: HashMap<String, View>,
     cluster: Table,
     fleet: Table,
+    /// Requests that the cluster and the fleet send in ten seconds, by priority.
     sends: [Vec<u32>; 2],
-    /// Numbers of the reports that the sums contain.
+    /// Number of each node's report that the sums contain.
     included: HashMap<String, u32>,
     refreshed: Option<Instant>,
 }
 
-impl Hub {
-    /// A seed's, whose process has a random number.
+impl Aggregate {
+    /// An empty aggregate. `boot` is a random number that identifies the seed's process.
     pub(crate) fn new(boot: u32) -> Self {
-        Hub {
+        Aggregate {
             boot,
             nodes: HashMap::new(),
             seeds: HashMap::new(),
@@ -264,75 +273,88 @@
         }
     }
 
-    /// Nodes of its cluster.
-    pub(crate) fn nodes(&self) -> usize {
+    /// Number of nodes in the cluster.
+    pub(crate) fn node_count(&self) -> usize {
         self.nodes.len()
     }
 
-    /// Takes in a report of a node.
-    pub(crate) fn report(&mut self, report: Report, now: Instant) {
+    /// Adds the report of a node of the cluster.
+    pub(crate) fn add_report(&mut self, report: Report, now: Instant) {
         let Report { from, number, loads, parts, sends, .. } = report;
         self.cluster.add_parts(parts.iter().copied(), now);
         self.fleet.add_parts(parts, now);
-        self.nodes.insert(from, Entry { number, loads, sends, at: now });
+        self.nodes.insert(from, NodeReport { number, loads, sends, at: now });
     }
 
-    /// What it has of another seed's cluster.
-    pub(crate) fn seed(&self, seed: &str) -> Option<Position> {
-        self.seeds.get(seed)?.at()
+    /// Position up to which another seed's table has been received.
+    pub(crate) fn seed_position(&self, seed: &str) -> Option<Position> {
+        self.seeds.get(seed)?.position()
     }
 
-    /// Takes in what changed in another seed's cluster; returns the parts that it told of.
-    pub(crate) fn learn(&mut self, seed: &str, summary: Summary, now: Instant) -> Vec<(u32, u64)> {
+    /// Applies the changes of another seed's cluster; returns the cached parts among them.
+    pub(crate) fn apply_seed_summary(
+        &mut self,
+        seed: &str,
+        summary: Summary,
+        now: Instant,
+    ) -> Vec<(u32, u64)> {
         let parts = summary.parts.clone();
         self.fleet.add_parts(parts.iter().copied(), now);
         self.seeds.entry(seed.to_string()).or_default().apply(summary, now);
         parts
     }
 
-    /// Sums all reports anew, unless they were just summed. A report counts for `counts`; `worth` is
-    /// what of an engine's sum is worth telling nodes.
+    /// Sums all reports again, at most once per [`REFRESH_INTERVAL`]. Drops reports older than `lifetime`.
+    /// `filter` removes from an engine's sum what needn't be sent to nodes, and is none if nothing remains.
     pub(crate) fn refresh(
         &mut self,
-        counts: Duration,
-        worth: impl Fn(Load) -> Option<Load>,
+        lifetime: Duration,
+        filter: impl Fn(Load) -> Option<Load>,
         now: Instant,
     ) {
-        if self.refreshed.is_some_and(|last| now < last + REFRESH) {
+        if self.refreshed.is_some_and(|last| now < last + REFRESH_INTERVAL) {
             return;
         }
         self.refreshed = Some(now);
-        self.nodes.retain(|_, entry| now < entry.at + counts);
-        self.seeds.retain(|_, view| view.fresh(counts, now));
+        self.nodes.retain(|_, report| now < report.at + lifetime);
+        self.seeds.retain(|_, view| view.is_fresh(lifetime, now));
         let (mut sums, mut sends) = (HashMap::new(), vec![]);
-        for entry in self.nodes.values() {
-            add(&mut sums, entry.loads.iter().cloned());
-            wire::gossip::merge(&mut sends, &entry.sends, u32::saturating_add);
+        for report in self.nodes.values() {
+            add_loads(&mut sums, report.loads.iter().cloned());
+            wire::gossip::merge(&mut sends, &report.sends, u32::saturating_add);
         }
-        self.included = self.nodes.iter().map(|(name, e)| (name.clone(), e.number)).collect();
+        self.included =
+            self.nodes.iter().map(|(name, report)| (name.clone(), report.number)).collect();
         self.cluster.update(sums.clone(), now);
         self.sends[0] = sends.clone();
         for view in self.seeds.values() {
-            add(&mut sums, view.loads(now));
+            add_loads(&mut sums, view.loads(now));
             wire::gossip::merge(&mut sends, &view.sends, u32::saturating_add);
         }
-        let worth = sums.into_values().filter_map(worth);
-        self.fleet.update(worth.map(|load| (load.server, load)).collect(), now);
+        let loads = sums.into_values().filter_map(filter);
+        self.fleet.update(loads.map(|load| (load.server, load)).collect(), now);
         self.sends[1] = sends;
     }
 
-    /// What a node lacks of the fleet's sums.
-    pub(crate) fn fleet(&self, name: &str, known: Option<Position>, now: Instant) -> Summary {
+    /// Changes of the sums over the fleet since the position `known` of a node.
+    pub(crate) fn fleet_summary(
+        &self,
+        name: &str,
+        known: Option<Position>,
+        now: Instant,
+    ) -> Summary {
         let included = self.included.get(name).copied();
-        Summary { included, ..self.answer(&self.fleet, &self.sends[1], known, now) }
+        Summary { included, ..self.summarize(&self.fleet, &self.sends[1], known, now) }
     }
 
-    /// What another seed lacks of the sums of this one's cluster.
-    pub(crate) fn cluster(&self, known: Option<Position>, now: Instant) -> Summary {
-        self.answer(&self.cluster, &self.sends[0], known, now)
+    /// Changes of the sums over this seed's cluster since the position `known` of another seed.
+    pub(crate) fn cluster_summary(&self, known: Option<Position>, now: Instant) -> Summary {
+        self.summarize(&self.cluster, &self.sends[0], known, now)
     }
 
-    fn answer(
+    /// Changes of a table since a position. The whole table if the position is of another process of the
+    /// seed, or changes after it may have been dropped.
+    fn summarize(
         &self,
         table: &Table,
         sends: &[u32],
@@ -340,13 +362,14 @@
         now: Instant,
     ) -> Summary {
         let known = known.filter(|known| known.boot == self.boot && known.version >= table.floor);
-        let mut summary = table.since(known.map(|known| known.version), now);
+        let mut summary = table.changes_since(known.map(|known| known.version), now);
         summary.at.boot = self.boot;
         Summary { sends: sends.to_vec(), ..summary }
     }
 }
 
-fn add(sums: &mut HashMap<u32, Load>, loads: impl Iterator<Item = Load>) {
+/// Adds loads to the sums of their engines.
+fn add_loads(sums: &mut HashMap<u32, Load>, loads: impl Iterator<Item = Load>) {
     for load in loads {
         sums.entry(load.server).or_insert_with(|| Load::none(load.server)).add(&load);
     }
