--- a/components/forward/src/gossip.rs
+++ b/components/forward/src/gossip.rs
@@ -282,10 +282,12 @@
     let load = |backlog: Backlog| {
         Some(Load {
             server: wire::key(&names.server(backlog.server)?.name),
-            reading_ms: to_whole_units(&backlog.reading, MS_PER_S),
+            reading_ms: to_whole_units(&backlog.prefill, MS_PER_S),
             overdue_ms: to_whole_units(&backlog.overdue, MS_PER_S),
-            taken: to_whole_units(&backlog.taken, 1.0),
-            begun_ms: backlog.begun.map(|age| age.as_millis().try_into().unwrap_or(u32::MAX)),
+            taken: to_whole_units(&backlog.occupied, 1.0),
+            begun_ms: backlog
+                .since_first_token
+                .map(|age| age.as_millis().try_into().unwrap_or(u32::MAX)),
         })
     };
     backlogs.into_iter().filter_map(load).collect()
@@ -293,7 +295,7 @@
 
 /// Requests that this node sends to engines in ten seconds, by priority.
 fn own_sends<S: Site>(state: &State<S>) -> Vec<u32> {
-    to_whole_units(&state.turns.scheduler.borrow().sends(state.clock.now()), SENDS_SECONDS)
+    to_whole_units(&state.turns.scheduler.borrow().send_rates(state.clock.now()), SENDS_SECONDS)
 }
 
 /// Amounts by priority, rounded to a smaller unit of which so many make one. Priorities at the end without an
@@ -309,7 +311,7 @@
 /// Parts of prompts that engines cache by this node's requests and that other nodes may not know of: the key of
 /// the engine's name, and the part.
 fn own_cached_parts<S: Site>(state: &State<S>) -> Vec<(u32, u64)> {
-    let updates = state.turns.scheduler.borrow_mut().cached(state.clock.now());
+    let updates = state.turns.scheduler.borrow_mut().cache_updates(state.clock.now());
     let names = state.names.borrow();
     let row = |cached: Cached| Some((wire::key(&names.server(cached.server)?.name), cached.part));
     updates.into_iter().filter_map(row).collect()
@@ -320,7 +322,7 @@
     let names = state.names.borrow();
     let cached = |row: &(u32, u64)| Some(Cached { server: names.keyed(row.0)?, part: row.1 });
     let reported = parts.iter().filter_map(cached);
-    state.turns.scheduler.borrow_mut().set_cached(reported, state.clock.now());
+    state.turns.scheduler.borrow_mut().apply_cache_updates(reported, state.clock.now());
 }
 
 /// Hands the load of all other nodes at engines and their rates of requests to the scheduler.
@@ -330,15 +332,15 @@
     let backlog = |load: &Load| {
         Some(Backlog {
             server: names.keyed(load.server)?,
-            reading: load.reading_ms.iter().map(seconds).collect(),
+            prefill: load.reading_ms.iter().map(seconds).collect(),
             overdue: load.overdue_ms.iter().map(seconds).collect(),
-            taken: load.taken.iter().map(|slots| f64::from(*slots)).collect(),
-            begun: load.begun_ms.map(|ms| Duration::from_millis(ms.into())),
+            occupied: load.taken.iter().map(|slots| f64::from(*slots)).collect(),
+            since_first_token: load.begun_ms.map(|ms| Duration::from_millis(ms.into())),
         })
     };
     let backlogs: Vec<_> = loads.iter().filter_map(backlog).collect();
     let sends: Vec<_> = sends.iter().map(|sends| f64::from(*sends) / SENDS_SECONDS).collect();
     let (mut scheduler, now) = (state.turns.scheduler.borrow_mut(), state.clock.now());
     scheduler.set_backlogs(&backlogs, now);
-    scheduler.set_sends(&sends, now);
+    scheduler.set_peer_send_rates(&sends, now);
 }
--- a/components/forward/src/gossip/limits.rs
+++ b/components/forward/src/gossip/limits.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, Instant};
 
 use clock::Clock;
-use policy::Named;
+use policy::RateLimit;
 use wire::gossip::{Limit, Position, Report, Summary};
 
 use super::cursor::Cursor;
@@ -20,9 +20,9 @@
     cursor: &mut Cursor,
     report: Report,
 ) -> Report {
-    let (named, version) = state.limits.throttle.borrow().since(cursor.acknowledged());
+    let (limits, version) = state.limits.throttle.borrow().changes_since(cursor.acknowledged());
     cursor.begin_report(version);
-    let limits = to_wire(&named, state.clock.now());
+    let limits = to_wire(&limits, state.clock.now());
     Report { limits, limits_known: cursor.received(), ..report }
 }
 
@@ -53,26 +53,26 @@
     let now = state.clock.now();
     limits::merge_reported(state, reported.iter().filter_map(|limit| from_wire(limit, now)));
     let known = at.filter(|at| at.boot == summary.at.boot).map_or(0, |_| known);
-    let (named, limits_at) = state.limits.throttle.borrow().since(known);
-    Summary { limits: to_wire(&named, now), limits_at, permits, ..summary }
+    let (limits, limits_at) = state.limits.throttle.borrow().changes_since(known);
+    Summary { limits: to_wire(&limits, now), limits_at, permits, ..summary }
 }
 
 /// Limits in the form in which they are sent. Times are sent as ages, since the clocks of nodes differ.
-fn to_wire(named: &[Named], now: Instant) -> Vec<Limit> {
-    let limit = |named: &Named| {
-        let age = now.saturating_duration_since(named.at).as_millis();
+fn to_wire(limits: &[RateLimit], now: Instant) -> Vec<Limit> {
+    let row = |limit: &RateLimit| {
+        let age = now.saturating_duration_since(limit.at).as_millis();
         Limit {
-            server: named.server,
-            rate: named.rate.map(|rate| (rate * RATE_SECONDS).round() as u32),
+            server: limit.server,
+            rate: limit.rate.map(|rate| (rate * RATE_SECONDS).round() as u32),
             age_ms: u32::try_from(age).unwrap_or(u32::MAX),
         }
     };
-    named.iter().map(limit).collect()
+    limits.iter().map(row).collect()
 }
 
 /// A limit from another node; none if it is older than this node's clock can represent.
-fn from_wire(limit: &Limit, now: Instant) -> Option<Named> {
+fn from_wire(limit: &Limit, now: Instant) -> Option<RateLimit> {
     let at = now.checked_sub(Duration::from_millis(limit.age_ms.into()))?;
     let rate = limit.rate.map(|rate| f64::from(rate) / RATE_SECONDS);
-    Some(Named { server: limit.server, rate, at })
+    Some(RateLimit { server: limit.server, rate, at })
 }
--- a/components/forward/src/limits.rs
+++ b/components/forward/src/limits.rs
@@ -7,7 +7,7 @@
 
 use catalog::Entry;
 use clock::Clock;
-use policy::{Issuer, Named, Throttle};
+use policy::{Issuer, RateLimit, Throttle};
 
 use crate::mechanism::Mechanism;
 use crate::site::{Limit, Site};
@@ -63,7 +63,7 @@
             return;
         }
     };
-    state.limits.throttle.borrow_mut().answered(key, rate, sent, now);
+    state.limits.throttle.borrow_mut().record_response(key, rate, sent, now);
     let after = state.limits.throttle.borrow().rate(key);
     if before.is_some() != after.is_some() {
         log::info!(server = server.name.as_str(), rate_per_s = after; "server's rate limit");
@@ -72,10 +72,10 @@
 }
 
 /// Merges the limits that other nodes report. Servers that aren't listed are left out.
-pub(crate) fn merge_reported<S: Site>(state: &State<S>, limits: impl Iterator<Item = Named>) {
+pub(crate) fn merge_reported<S: Site>(state: &State<S>, limits: impl Iterator<Item = RateLimit>) {
     let before = state.limits.throttle.borrow().version();
     for limit in limits.filter(|limit| state.names.borrow().keyed(limit.server).is_some()) {
-        state.limits.throttle.borrow_mut().learn(limit);
+        state.limits.throttle.borrow_mut().merge(limit);
     }
     if state.limits.throttle.borrow().version() > before {
         apply_to_scheduler(state);
@@ -92,7 +92,7 @@
     let mut scheduler = state.turns.scheduler.borrow_mut();
     for limit in state.limits.throttle.borrow().all() {
         if let Some(server) = names.keyed(limit.server) {
-            scheduler.set_limited(server, limit.rate.is_some());
+            scheduler.set_rate_limited(server, limit.rate.is_some());
         }
     }
 }
@@ -103,7 +103,7 @@
     let names = state.names.borrow();
     for (server, count) in permits {
         if let Some(server) = names.keyed(*server) {
-            state.turns.scheduler.borrow_mut().permit(server, *count, now);
+            state.turns.scheduler.borrow_mut().add_permits(server, *count, now);
         }
     }
     drop(names);
--- a/components/policy/src/pick.rs
+++ b/components/policy/src/pick.rs
@@ -11,7 +11,7 @@
 use rand::Rng;
 use rand::rngs::SmallRng;
 
-use crate::mechanism::{Mechanism, Without};
+use crate::mechanism::{Disabled, Mechanism};
 
 /// Scores within this part of the best are as good as it: about the error of a load that is a
 /// second old.
@@ -43,16 +43,16 @@
     candidates: &[Candidate],
     prefix: u64,
     rng: &mut SmallRng,
-    without: Without,
+    without: Disabled,
 ) -> Option<ids::Server> {
     let best = candidates.iter().min_by(|a, b| a.score().total_cmp(&b.score()))?;
     let near = best.score() * NEAR;
-    if without.has(Mechanism::Affinity)
+    if without.lacks(Mechanism::Affinity)
         && let Some(home) = home(candidates, prefix, near)
     {
         return Some(home);
     }
-    if !without.has(Mechanism::TwoChoices) {
+    if !without.lacks(Mechanism::TwoChoices) {
         return Some(best.server);
     }
     let equals = || candidates.iter().filter(|candidate| candidate.score() <= near);
@@ -66,13 +66,13 @@
 /// The server that has most likely cached the prompt's head, unless it is slow or loaded.
 fn home(candidates: &[Candidate], prefix: u64, near: f64) -> Option<ids::Server> {
     let mean = candidates.iter().map(|c| c.load).sum::<f64>() / candidates.len() as f64;
-    let home = candidates.iter().max_by_key(|candidate| mix(prefix ^ candidate.salt))?;
+    let home = candidates.iter().max_by_key(|candidate| mix64(prefix ^ candidate.salt))?;
     let bounded = home.load <= mean * BOUND + 0.1 && home.score() <= near * BOUND;
     bounded.then_some(home.server)
 }
 
 /// Spreads the bits of a number (the finaliser of splitmix64).
-pub(crate) fn mix(number: u64) -> u64 {
+pub(crate) fn mix64(number: u64) -> u64 {
     let number = (number ^ (number >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     let number = (number ^ (number >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
     number ^ (number >> 31)
--- a/components/policy/src/scheduler.rs
+++ b/components/policy/src/scheduler.rs
@@ -10,23 +10,23 @@
 use crate::action::{Action, Ending, Policy, Refusal};
 use crate::bucket::Bucket;
 use crate::cache;
-use crate::fair::{self, Fair};
-use crate::held::{Expected, Held, Stage};
+use crate::fair::{self, Counters};
 use crate::isolation::GROUPS;
 use crate::length::Lengths;
-use crate::mechanism::{Mechanism, Without};
+use crate::mechanism::{Disabled, Mechanism};
 use crate::need::Needs;
+use crate::pending::{Expected, Pending, Stage};
 use crate::pick::Candidate;
-use crate::places;
 use crate::pool::{Key, Member, Pool};
-use crate::reading::Begun;
+use crate::prefill::FirstToken;
 use crate::server;
+use crate::slots;
 use crate::terms::{Class, Demand, Fetch, Limits, Report, Request, Server, Share, Workspace};
 use crate::throttle::Permits;
 
 /// Retries that may come at once, over what fresh work has earned: those of one server that crashes
 /// with its places full.
-pub const RETRIES: u32 = 16;
+pub const RETRY_BURST: u32 = 16;
 /// Bytes of the link that may be sent at once: two seconds' worth.
 const LINK_SECONDS: f64 = 2.0;
 
@@ -43,12 +43,12 @@
     pub(crate) classes: SecondaryMap<ids::Class, Class>,
     pub(crate) workspaces: SecondaryMap<ids::Workspace, Workspace>,
     pub(crate) servers: SecondaryMap<ids::Server, server::State>,
-    pub(crate) jobs: SlotMap<ids::Job, Held>,
+    pub(crate) jobs: SlotMap<ids::Job, Pending>,
     pub(crate) pools: SlotMap<Key, Pool>,
     pub(crate) index: HashMap<(ids::Model, Vec<ids::Server>), Key>,
     pub(crate) turns: SecondaryMap<ids::Class, Turn>,
     pub(crate) in_flight: SecondaryMap<ids::Workspace, u32>,
-    pub(crate) fair: Fair,
+    pub(crate) fair: Counters,
     pub(crate) lengths: Lengths,
     /// By what is asked for: retries at one service must not be paid for by work at another.
     pub(crate) retries: SecondaryMap<ids::Model, Bucket>,
@@ -56,8 +56,8 @@
     pub(crate) limits: Limits,
     pub(crate) prefixes: cache::Index,
     /// At what rate this node sends to engines, and others do.
-    pub(crate) rate: places::Rate,
-    pub(crate) others: places::Others,
+    pub(crate) send_rate: slots::SendRate,
+    pub(crate) peer_send_rate: slots::PeerRate,
     pub(crate) timers: BTreeSet<(Instant, ids::Job)>,
     pub(crate) refused: Vec<(ids::Job, Refusal, Duration)>,
     pub(crate) scratch: Vec<Candidate>,
@@ -72,10 +72,10 @@
     /// Rank of the highest tier that has a class.
     pub(crate) top: u8,
     pub(crate) rng: SmallRng,
-    pub(crate) jitter: places::Jitter,
-    pub(crate) without: Without,
+    pub(crate) jitter: slots::Jitter,
+    pub(crate) disabled: Disabled,
     /// A session may have its home in another region.
-    pub(crate) crosses: bool,
+    pub(crate) cross_region: bool,
 }
 
 impl Default for Scheduler {
@@ -111,14 +111,14 @@
             index: HashMap::new(),
             turns: SecondaryMap::new(),
             in_flight: SecondaryMap::new(),
-            fair: Fair::default(),
+            fair: Counters::default(),
             lengths: Lengths::default(),
             retries: SecondaryMap::new(),
             link: Bucket::new(0.0),
-            limits: Limits { retry_percent: 10, retry_burst: RETRIES, link_bytes: 1 << 20 },
+            limits: Limits { retry_percent: 10, retry_burst: RETRY_BURST, link_bytes: 1 << 20 },
             prefixes: cache::Index::default(),
-            rate: places::Rate::default(),
-            others: places::Others::default(),
+            send_rate: slots::SendRate::default(),
+            peer_send_rate: slots::PeerRate::default(),
             timers: BTreeSet::new(),
             refused: vec![],
             scratch: vec![],
@@ -130,9 +130,9 @@
             strictest: f64::INFINITY,
             top: u8::MAX,
             rng: SmallRng::seed_from_u64(seed),
-            jitter: places::Jitter::new(seed),
-            without: Without::default(),
-            crosses: true,
+            jitter: slots::Jitter::new(seed),
+            disabled: Disabled::default(),
+            cross_region: true,
         }
         .with_limits()
     }
@@ -145,11 +145,11 @@
     /// Leaves a mechanism out, to measure what it buys.
     ///
     /// ```
-    /// let scheduler = policy::Scheduler::with_seed(7).without(policy::Mechanism::Fairness);
+    /// let scheduler = policy::Scheduler::with_seed(7).with_disabled(policy::Mechanism::Fairness);
     /// assert_eq!(scheduler.waiting(), 0);
     /// ```
-    pub fn without(mut self, mechanism: Mechanism) -> Self {
-        self.without.leave_out(mechanism);
+    pub fn with_disabled(mut self, mechanism: Mechanism) -> Self {
+        self.disabled.disable(mechanism);
         self
     }
 
@@ -158,7 +158,7 @@
         if limits.retry_burst != self.limits.retry_burst {
             self.retries.clear();
         }
-        if limits != self.limits || self.link.part() == 0.0 {
+        if limits != self.limits || self.link.fill_ratio() == 0.0 {
             self.link = Bucket::new(limits.link_bytes as f64 * LINK_SECONDS);
         }
         self.limits = limits;
@@ -203,8 +203,8 @@
     }
 
     /// Says whether a backend server has named a rate limit. From then on it is sent nothing without a
-    /// permit of [`Scheduler::permit`].
-    pub fn set_limited(&mut self, key: ids::Server, limited: bool) {
+    /// permit of [`Scheduler::add_permits`].
+    pub fn set_rate_limited(&mut self, key: ids::Server, limited: bool) {
         let Some(known) = self.servers.get_mut(key) else { return };
         if known.permits.is_some() != limited {
             known.permits = limited.then(Permits::default);
@@ -213,7 +213,7 @@
     }
 
     /// Permits so many requests to a server that has named a rate limit, for a while.
-    pub fn permit(&mut self, key: ids::Server, count: u32, now: Instant) {
+    pub fn add_permits(&mut self, key: ids::Server, count: u32, now: Instant) {
         let known = self.servers.get_mut(key);
         if let Some(permits) = known.and_then(|known| known.permits.as_mut()) {
             permits.add(count, now);
@@ -241,7 +241,7 @@
     /// Gives a backend server that the settings no longer name no new work.
     pub fn remove_server(&mut self, key: ids::Server) {
         self.servers.remove(key);
-        self.prefixes.forget(key);
+        self.prefixes.remove_server(key);
         self.refresh();
     }
 
@@ -271,7 +271,7 @@
     }
 
     /// Number of requests sent to a server that haven't ended.
-    pub fn sent(&self, server: ids::Server) -> u32 {
+    pub fn in_flight_at(&self, server: ids::Server) -> u32 {
         self.servers.get(server).map_or(0, |known| known.sent)
     }
 
@@ -279,25 +279,25 @@
     /// known to read. All fade in the same way, so those of several nodes can be added.
     ///
     /// ```
-    /// assert_eq!(policy::Scheduler::new().engaged_of_late(), [0.0; policy::GROUPS]);
+    /// assert_eq!(policy::Scheduler::new().recent_engine_seconds(), [0.0; policy::GROUPS]);
     /// ```
-    pub fn engaged_of_late(&self) -> [f64; GROUPS] {
-        let all = self.pools.values().map(|pool| pool.isolation.seconds());
+    pub fn recent_engine_seconds(&self) -> [f64; GROUPS] {
+        let all = self.pools.values().map(|pool| pool.isolation.recent_seconds());
         all.fold([0.0; GROUPS], |sum, own| std::array::from_fn(|group| sum[group] + own[group]))
     }
 
     /// Says whether a session may have its home in another region than its caller's.
-    pub fn set_crossing(&mut self, crosses: bool) {
-        self.crosses = crosses;
+    pub fn set_cross_region(&mut self, crosses: bool) {
+        self.cross_region = crosses;
     }
 
-    /// Takes in the sum of [`Scheduler::engaged_of_late`] over all nodes.
-    pub fn set_fleet(&mut self, seconds: [f64; GROUPS], now: Instant) {
-        if !self.without.has(Mechanism::FleetWork) {
+    /// Takes in the sum of [`Scheduler::recent_engine_seconds`] over all nodes.
+    pub fn set_fleet_engine_seconds(&mut self, seconds: [f64; GROUPS], now: Instant) {
+        if !self.disabled.lacks(Mechanism::FleetWork) {
             return;
         }
         for pool in self.pools.values_mut() {
-            pool.isolation.set_fleet(seconds, now);
+            pool.isolation.set_fleet_work(seconds, now);
         }
     }
 
@@ -315,7 +315,7 @@
         self.epoch += 1;
         let Scheduler { pools, index, ticked, .. } = self;
         // One that stands empty for a moment still knows what its engines were used for of late.
-        let of_late = |pool: &Pool| ticked.is_some_and(|now| pool.isolation.worked(now));
+        let of_late = |pool: &Pool| ticked.is_some_and(|now| pool.isolation.recently_active(now));
         pools.retain(|_, pool| pool.jobs > 0 || of_late(pool));
         index.retain(|_, key| pools.contains_key(*key));
     }
@@ -339,22 +339,22 @@
 
     /// The lane of a workspace; a single one for all when turns are left out.
     pub(crate) fn lane(&self, workspace: ids::Workspace) -> ids::Workspace {
-        if self.without.has(Mechanism::Fairness) { workspace } else { ids::Workspace::default() }
+        if self.disabled.lacks(Mechanism::Fairness) { workspace } else { ids::Workspace::default() }
     }
 
     /// Charges tokens to a workspace and puts its lanes where they belong.
     pub(crate) fn charge(&mut self, class: ids::Class, workspace: ids::Workspace, tokens: i64) {
-        if tokens == 0 || !self.without.has(Mechanism::Fairness) {
+        if tokens == 0 || !self.disabled.lacks(Mechanism::Fairness) {
             return;
         }
         let class_weight = self.classes.get(class).map_or(1, |class| class.weight);
         let weight = self.workspaces.get(workspace).map_or(1, |w| w.weight);
         self.fair.charge((class, class_weight), (workspace, weight), tokens);
-        let counter = self.fair.workspace(class, workspace);
-        for line in self.pools.values_mut().flat_map(|pool| &mut pool.lines) {
+        let counter = self.fair.workspace_counter(class, workspace);
+        for line in self.pools.values_mut().flat_map(|pool| &mut pool.queues) {
             if line.class == class {
-                line.fresh.rekey(workspace, counter);
-                line.late.rekey(workspace, counter);
+                line.on_time.set_counter(workspace, counter);
+                line.late.set_counter(workspace, counter);
             }
         }
     }
@@ -370,20 +370,20 @@
         if lane != workspace {
             return;
         }
-        for line in self.pools.values_mut().flat_map(|pool| &mut pool.lines) {
-            line.fresh.set_open(workspace, open);
+        for line in self.pools.values_mut().flat_map(|pool| &mut pool.queues) {
+            line.on_time.set_open(workspace, open);
             line.late.set_open(workspace, open);
         }
     }
 
     /// Forgets a request.
-    pub(crate) fn forget(&mut self, job: ids::Job) -> Option<Held> {
+    pub(crate) fn forget(&mut self, job: ids::Job) -> Option<Pending> {
         self.unqueue(job);
-        let held = self.jobs.remove(job)?;
-        if let Some(pool) = self.pools.get_mut(held.pool) {
+        let pending = self.jobs.remove(job)?;
+        if let Some(pool) = self.pools.get_mut(pending.pool) {
             pool.jobs -= 1;
         }
-        Some(held)
+        Some(pending)
     }
 }
 
@@ -402,7 +402,7 @@
 fn ranked(servers: &SecondaryMap<ids::Server, server::State>, pool: &[ids::Server]) -> Vec<Member> {
     let open = pool.iter().filter(|key| !servers[**key].leaving());
     let mut open: Vec<_> = open.map(|key| (&servers[*key].terms, *key)).collect();
-    open.sort_by_key(|(terms, _)| (terms.region, crate::pick::mix(terms.salt)));
+    open.sort_by_key(|(terms, _)| (terms.region, crate::pick::mix64(terms.salt)));
     let mut ranked: Vec<Member> = vec![];
     for (terms, server) in open {
         let last = ranked.last().filter(|last| last.region == terms.region);
@@ -421,18 +421,18 @@
         let ticks = self.tick(now);
         self.expire(now);
         self.dispatch(now, actions);
-        if ticks && self.without.has(Mechanism::Stopping) {
+        if ticks && self.disabled.lacks(Mechanism::Preemption) {
             self.stop(now, actions);
             self.rescue(now, actions);
         }
-        for (job, refusal, again) in std::mem::take(&mut self.refused) {
+        for (job, refusal, retry_after) in std::mem::take(&mut self.refused) {
             if self.forget(job).is_some() {
-                actions.push(Action::Refuse { job, refusal, again });
+                actions.push(Action::Refuse { job, refusal, retry_after });
             }
         }
     }
 
-    fn due(&self) -> Option<Instant> {
+    fn next_due(&self) -> Option<Instant> {
         if !self.refused.is_empty() {
             return self.ticked;
         }
@@ -442,42 +442,43 @@
         timer.into_iter().chain(tick).min()
     }
 
-    fn tokens(&mut self, job: ids::Job, count: u32, now: Instant) {
-        let Some(held) = self.jobs.get_mut(job) else { return };
-        let Stage::Sent(server) = held.stage else { return };
-        held.produced = held.produced.saturating_add(count);
-        let last = held.last_token.replace(now);
-        let used = fair::cost(held.request.prompt_tokens, held.produced);
-        let more = used.saturating_sub(held.charged);
-        held.charged = held.charged.max(used);
-        let (class, workspace, sent) = (held.request.class, held.request.workspace, held.sent_at);
+    fn record_tokens(&mut self, job: ids::Job, count: u32, now: Instant) {
+        let Some(pending) = self.jobs.get_mut(job) else { return };
+        let Stage::Sent(server) = pending.stage else { return };
+        pending.produced = pending.produced.saturating_add(count);
+        let last = pending.last_token.replace(now);
+        let used = fair::cost(pending.request.prompt_tokens, pending.produced);
+        let more = used.saturating_sub(pending.charged);
+        pending.charged = pending.charged.max(used);
+        let (class, workspace, sent) =
+            (pending.request.class, pending.request.workspace, pending.sent_at);
         if let Some(known) = self.servers.get_mut(server) {
-            known.health.good();
+            known.health.record_response();
             match last {
                 None => {
                     let took = now.saturating_duration_since(sent);
-                    self.prefixes.begun(&held.request, server, now);
-                    known.begun(took);
-                    let begun = Begun {
-                        rank: held.urgency,
-                        seconds: held.reading,
-                        ahead: held.ahead,
+                    self.prefixes.record_prefill(&pending.request, server, now);
+                    known.record_first_token(took);
+                    let begun = FirstToken {
+                        priority: pending.priority,
+                        prefill: pending.prefill,
+                        queued_ahead: pending.ahead,
                         took: took.as_secs_f64(),
                     };
-                    known.reading.begun(begun, now);
-                    held.reading = 0.0;
+                    known.prefill.record_first_token(begun, now);
+                    pending.prefill = 0.0;
                 }
-                Some(last) => known.paced((now - last) / count.max(1)),
+                Some(last) => known.record_token_interval((now - last) / count.max(1)),
             }
             if last.is_some() {
-                let (interval, slots) = (known.interval(), known.slots());
+                let (interval, slots) = (known.token_interval(), known.slots());
                 known.limit.observe(interval, self.strictest, slots, now);
             }
         }
         self.charge(class, workspace, i64::from(more));
     }
 
-    fn ended(&mut self, job: ids::Job, ending: Ending, now: Instant) -> bool {
+    fn attempt_ended(&mut self, job: ids::Job, ending: Ending, now: Instant) -> bool {
         self.conclude(job, ending, now)
     }
 
@@ -485,17 +486,17 @@
         self.forget(job);
     }
 
-    fn report(&mut self, server: ids::Server, report: Report, now: Instant) {
+    fn record_report(&mut self, server: ids::Server, report: Report, now: Instant) {
         let Some(known) = self.servers.get_mut(server) else { return };
         let (interval, slots) = (report.token_interval.as_secs_f64(), known.slots());
-        known.reported(report, now);
+        known.apply_report(report, now);
         if interval > 0.0 {
             known.limit.observe(interval, self.strictest, slots, now);
         }
         self.epoch += 1;
     }
 
-    fn share(&mut self, server: ids::Server, share: Share, _now: Instant) {
+    fn set_share(&mut self, server: ids::Server, share: Share, _now: Instant) {
         let Some(known) = self.servers.get_mut(server) else { return };
         if known.share != Some(share) {
             known.share = Some(share);
--- a/components/policy/tests/places.rs
+++ b/components/policy/tests/places.rs
@@ -70,7 +70,7 @@
 /// want of a burst.
 #[test]
 fn without_counting_places_callers_of_the_burst_go_away() {
-    let played = burst(Some(Mechanism::Places));
+    let played = burst(Some(Mechanism::SlotCounts));
     let streams = || played.iter().map(|(streams, _)| streams);
     let sent: u32 = streams().map(|count| count.sent).sum();
     let given_up: u32 = streams().map(|count| count.given_up).sum();
@@ -83,15 +83,19 @@
         let (job, _) = send(fixture, STEADY, session);
         for _ in 0..100 {
             fixture.now += Duration::from_millis(30);
-            fixture.scheduler.tokens(job, 1, fixture.now);
+            fixture.scheduler.record_tokens(job, 1, fixture.now);
         }
-        fixture.scheduler.ended(job, Ending::Whole, fixture.now);
+        fixture.scheduler.attempt_ended(job, Ending::Completed, fixture.now);
     }
 }
 
 /// Other nodes' requests take so many places at an engine, by rank.
 fn taken(server: ids::Server, taken: &[f64]) -> Backlog {
-    Backlog { taken: taken.to_vec(), begun: Some(Duration::from_millis(20)), ..none(server) }
+    Backlog {
+        occupied: taken.to_vec(),
+        since_first_token: Some(Duration::from_millis(20)),
+        ..none(server)
+    }
 }
 
 proptest! {
