--- a/components/forward/src/gossip.rs
+++ b/components/forward/src/gossip.rs
@@ -1,7 +1,7 @@
 //! Exchanges between nodes what each of them has at engines, so that every node's decisions take the load of all
 //! nodes into account.
 //!
-//! The decisions that use it are in `policy::backlog`, `policy::places` and `policy::cache`.
+//! The decisions that use it are in `policy::backlog`, `policy::slots` and `policy::cache`.
 //!
 //! Nodes know each other only by the seeds in their settings. Every other node reports to a seed several times a
 //! second, and the answer contains what changed at all other nodes; seeds ask each other. A seed sets the pause
--- a/components/forward/src/gossip/table.rs
+++ b/components/forward/src/gossip/table.rs
@@ -23,8 +23,7 @@
 const NOTICEABLE_DIVISOR: u32 = 3;
 /// Step in ms in which the longest delay of a request is reported.
 const DELAY_STEP_MS: u32 = 100;
-/// Time in ms by which an engine's last begun answer must be newer than the one that was reported before it is
-/// reported again.
+/// An engine's latest begun answer is reported again once it is newer than the reported one by this time in ms.
 const BEGUN_STEP_MS: u32 = 300;
 /// Time for which a cached part of a prompt is kept for nodes that haven't received it.
 const PART_LIFETIME: Duration = Duration::from_secs(3);
@@ -63,7 +62,7 @@
 
 impl Row {
     /// The load at a later time: the age of the last begun answer has grown.
-    fn aged(&self, now: Instant) -> Load {
+    fn load_at(&self, now: Instant) -> Load {
         let age = now.saturating_duration_since(self.at).as_millis() as u32;
         let begun_ms = self.load.begun_ms.map(|begun| begun.saturating_add(age));
         Load { begun_ms, ..self.load.clone() }
@@ -99,7 +98,7 @@
         let next = self.version + 1;
         for (server, load) in sums {
             let reported = self.rows.get(&server);
-            if reported.is_none_or(|reported| differs_noticeably(&reported.aged(now), &load)) {
+            if reported.is_none_or(|reported| differs_noticeably(&reported.load_at(now), &load)) {
                 self.rows.insert(server, Row { load, version: next, at: now });
                 self.version = next;
             }
@@ -141,7 +140,7 @@
         let after = version.unwrap_or(0);
         let whole = version.is_none();
         let rows = self.rows.values().filter(|row| row.version > after);
-        let rows = rows.map(|row| row.aged(now)).filter(|load| !whole || !load.is_none());
+        let rows = rows.map(|row| row.load_at(now)).filter(|load| !whole || !load.is_none());
         let first = self.parts.partition_point(|cached| cached.version <= after);
         let parts = self.parts.range(first..).map(|cached| cached.part);
         let at = Position { boot: 0, version: self.version };
@@ -149,14 +148,14 @@
     }
 }
 
-/// A node's copy of a seed's table.
+/// The copy of a seed's table at a node or another seed.
 #[derive(Debug, Default)]
 pub(crate) struct View {
     position: Option<Position>,
     rows: HashMap<u32, Row>,
-    /// Requests that all nodes send to engines in ten seconds, by priority.
+    /// Requests that the table's nodes send to engines in ten seconds, by priority.
     sends: Vec<u32>,
-    /// Number of this node's report that the sums contain.
+    /// Number of the own report that the sums contain.
     included: Option<u32>,
     received: Option<Instant>,
 }
@@ -184,9 +183,9 @@
         (self.sends, self.included, self.received) = (summary.sends, summary.included, Some(now));
     }
 
-    /// Load of each engine as the sum over all nodes.
+    /// Load of each engine, summed over the table's nodes.
     pub(crate) fn loads(&self, now: Instant) -> impl Iterator<Item = Load> {
-        self.rows.values().map(move |row| row.aged(now))
+        self.rows.values().map(move |row| row.load_at(now))
     }
 
     /// Whether an answer was received within the given time.
--- a/components/forward/src/limits.rs
+++ b/components/forward/src/limits.rs
@@ -35,8 +35,8 @@
         self.seed_answered.set(Some(now));
     }
 
-    /// Issues permits, by the key of the server's name, to one of the `nodes` that get theirs here, where
-    /// this node is one of so many equal issuers.
+    /// Issues permits to one of the `nodes` that get theirs from this node: the key of a server's name, and
+    /// how many requests it may be sent. So many `issuers` share each limit equally.
     pub(crate) fn issue(&self, issuers: f64, nodes: usize, now: Instant) -> Vec<(u32, u32)> {
         let throttle = self.throttle.borrow();
         self.issuer.borrow_mut().issue(throttle.all(), issuers, nodes, now)
