--- a/components/forward/src/gossip.rs
+++ b/components/forward/src/gossip.rs
@@ -46,14 +46,12 @@
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(300);
 /// Time for which a report counts, as a multiple of the pause between reports: one report may be lost.
 const LIFETIME_PAUSES: u32 = 3;
-/// Milliseconds in a second.
 const MS_PER_S: f64 = 1_000.0;
 /// Time in seconds over which rates of requests are reported: on the wire they are whole numbers.
 const SENDS_SECONDS: f64 = 10.0;
 /// Part of an engine's slots from which on the number of occupied ones is passed on. Below it nobody waits for
 /// a slot.
 const CROWDED_PART: f64 = 0.5;
-/// Largest report in bytes.
 const MAX_REPORT_BYTES: usize = 256 << 10;
 /// Largest summary in bytes: some thousands of engines.
 const MAX_SUMMARY_BYTES: usize = 1 << 20;
@@ -136,7 +134,7 @@
     }
 }
 
-/// Sums again and again what nodes report and other seeds know, and applies the sums to this seed's own decisions.
+/// Sums again and again what nodes report and other seeds know, and hands the sums to this seed's own scheduler.
 async fn run_seed<S: Site>(weak: Weak<State<S>>) {
     let (mut view, mut sent) = (View::default(), SentReports::default());
     while let Some(state) = weak.upgrade() {
--- a/components/forward/src/gossip/pace.rs
+++ b/components/forward/src/gossip/pace.rs
@@ -1,8 +1,8 @@
 //! Computes how often nodes may report to a seed.
 //!
 //! Load pattern: a seed on a small VM, and hundreds of nodes that each ask for an answer several times a
-//! second. Without a bound the answers fill the seed's link, and requests that it forwards wait behind them. So the
-//! pause between reports grows with the number of nodes and with the mean size of an answer.
+//! second. Without a bound the answers fill the seed's link, and requests that it forwards wait behind
+//! them. So the pause between reports grows with the number of nodes and with the mean size of an answer.
 
 use std::time::Duration;
 
--- a/components/forward/src/limits.rs
+++ b/components/forward/src/limits.rs
@@ -97,7 +97,7 @@
     }
 }
 
-/// Hands permits to the scheduler, by the key of the server's name.
+/// Hands permits to the scheduler: the key of a server's name, and how many requests it may be sent.
 pub(crate) fn add_permits<S: Site>(state: &State<S>, permits: &[(u32, u32)]) {
     let now = state.clock.now();
     let names = state.names.borrow();
--- a/components/forward/src/replica.rs
+++ b/components/forward/src/replica.rs
@@ -6,7 +6,8 @@
 
 use crate::site::Item;
 
-/// Number of deletions that are remembered. A peer whose position is older than these is sent everything.
+/// Number of deletions that are remembered. A peer whose position is older than these can't be sent changes,
+/// and has to ask another source.
 const MAX_DELETIONS: usize = 1_000;
 
 /// Number of items that may have changed since the base was packed before it is packed again.
--- a/components/forward/src/source.rs
+++ b/components/forward/src/source.rs
@@ -36,7 +36,7 @@
 /// Time after its start during which a node leaves a list longer than [`SHORT_LIST_BYTES`] to the seeds.
 const LONG_LIST_WAIT: Duration = Duration::from_secs(3);
 /// Time for which nodes wait for a delegate to bring seeds that have lost contact with the store up to date.
-/// By its end their proof is about two seconds old; it counts for nearly five.
+/// By its end the nodes' last proof is about two seconds old; a proof counts for nearly five.
 const DELEGATE_WAIT: Duration = Duration::from_millis(600);
 /// First reads of the store per second, over all nodes, once [`DELEGATE_WAIT`] is over.
 const FIRST_READS_PER_S: f64 = 200.0;
