--- a/components/forward/src/follow.rs
+++ b/components/forward/src/follow.rs
@@ -210,7 +210,7 @@
 }
 
 /// Asks a peer for changes; returns the pause before the next call. The age of the peer's proof is counted
-/// from when the answer was made, which is no earlier than the question and the time for which the peer kept it.
+/// from when the answer was made, which is no earlier than the question plus the time for which the peer held it.
 async fn ask_peer<S: Site>(
     state: &Rc<State<S>>,
     peer: std::net::SocketAddr,
--- a/components/forward/src/gossip.rs
+++ b/components/forward/src/gossip.rs
@@ -120,7 +120,7 @@
                 state.limits.record_seed_answer(now);
                 view.apply(summary, now);
                 let (loads, sends) = sent.subtract_own(&view, now);
-                apply_others(&state, &loads, &sends);
+                apply_peer_loads(&state, &loads, &sends);
                 pause
             }
             Err(cause) => {
@@ -147,7 +147,7 @@
         apply_cached_parts(&state, &summary.parts);
         view.apply(summary, now);
         let (loads, sends) = sent.subtract_own(&view, now);
-        apply_others(&state, &loads, &sends);
+        apply_peer_loads(&state, &loads, &sends);
         let permits = issue_permits(&state);
         crate::limits::add_permits(&state, &permits);
         drop(state);
@@ -324,7 +324,7 @@
 }
 
 /// Hands the load of all other nodes at engines and their rates of requests to the scheduler.
-fn apply_others<S: Site>(state: &State<S>, loads: &[Load], sends: &[u32]) {
+fn apply_peer_loads<S: Site>(state: &State<S>, loads: &[Load], sends: &[u32]) {
     let names = state.names.borrow();
     let seconds = |ms: &u32| f64::from(*ms) / MS_PER_S;
     let backlog = |load: &Load| {
--- a/components/forward/src/proof.rs
+++ b/components/forward/src/proof.rs
@@ -20,8 +20,8 @@
     asked + wait.saturating_sub(WATCH_BLIND_TAIL)
 }
 
-/// Time proved by a peer that was asked at `asked`, answered after it had kept the question for `held`,
-/// and whose own proof had the given age when it answered.
+/// Time proved by the answer of a peer that was asked at `asked` and held the question for `held` before it
+/// answered; its own proof had the given age then.
 pub(crate) fn from_peer(asked: Duration, held: Duration, age: Duration) -> Duration {
     (asked + held).saturating_sub(age)
 }
