--- /dev/null
+++ b/components/forward/src/adapter.rs
@@ -0,0 +1,215 @@
+//! Traits that an adapter implements to connect the proxy to a platform: how its callers and backend
+//! servers use HTTP, and how its store is read.
+//!
+//! The types here are independent of any platform. An adapter converts the platform's header names
+//! and formats into them, and no other crate knows these names.
+
+use std::net::SocketAddr;
+use std::time::Duration;
+
+use actix_http::header::HeaderMap;
+use actix_http::{RequestHead, ResponseHead};
+use catalog::{Book, Change, Entry};
+pub use policy::Part;
+pub use wire::updates::Item;
+
+derives::data! {
+    /// The prompt of a request to an engine, and the expected length of the answer.
+    #[derive(Default)]
+    pub struct Prompt {
+        /// Its parts in order; the last one is unique to the request or its session.
+        pub parts: Vec<Part>,
+        /// Length of the prompt in tokens.
+        pub tokens: u32,
+        /// Limit on the answer in tokens that the caller set.
+        pub max_tokens: Option<u32>,
+        /// The caller's estimate of the answer's length in tokens: right at the median, often far off.
+        pub length_hint: Option<u32>,
+    }
+
+    /// A caller's request, as parsed from its head.
+    pub struct Call {
+        /// Id that the caller gave to this try of the request.
+        pub id: String,
+        /// Host that the request names.
+        pub host: String,
+        /// Path without query.
+        pub path: String,
+        /// API key of a workspace.
+        pub key: Option<String>,
+        /// How long the caller waits for the end of the answer.
+        pub timeout: Duration,
+        /// Requested model.
+        pub model: Option<String>,
+        /// Prompt for an engine.
+        pub prompt: Prompt,
+        /// Id of the last event that the caller has received, if it resumes a stream.
+        pub last_event_id: Option<u64>,
+    }
+
+    /// Values that the proxy adds to the caller's headers in one attempt.
+    pub struct Attempt<'a> {
+        /// The server that the attempt goes to.
+        pub server: &'a Entry,
+        /// Time left for the whole answer.
+        pub time_left: Duration,
+        /// Workspace of the caller.
+        pub workspace: Option<&'a str>,
+        /// Priority among the requests at an engine; 0 is the highest.
+        pub priority: u8,
+        /// Id of the event after which the stream has to continue.
+        pub last_event_id: Option<u64>,
+        /// The server whose cached part of the prompt this one copies.
+        pub fetch_from: Option<&'a Entry>,
+    }
+
+    /// Result of checking the head of a response.
+    pub enum Verdict {
+        /// The server's answer to this attempt, whether success or error.
+        Answer,
+        /// The server states that it didn't run the request.
+        Declined,
+        /// Another server has the address now. The request didn't run.
+        Misdirected,
+        /// The response belongs to another request, or repeats the response to an earlier one. The
+        /// expected one may follow on the same connection.
+        Mismatched,
+        /// The response can't be attributed to a request, or isn't a valid answer.
+        Invalid(String),
+    }
+
+    /// Rate limit of a server, as stated in the head of a response.
+    pub enum RateLimit {
+        /// None is stated; only the server's slots limit it.
+        Unspecified,
+        /// Requests per second from all nodes together.
+        PerSecond(f64),
+        /// The stated limit can't be parsed; the text is what the server sent.
+        Malformed(String),
+    }
+
+    /// The head of a request is invalid; the text says what to send instead.
+    pub struct Malformed(pub String);
+}
+
+/// The platform's HTTP conventions between callers and the proxy.
+pub trait CallerProtocol {
+    /// Parses the head of a request.
+    ///
+    /// # Errors
+    /// When a header is missing or malformed.
+    fn parse(&self, head: &RequestHead) -> Result<Call, Malformed>;
+}
+
+/// The platform's HTTP conventions between the proxy and backend servers.
+pub trait ServerProtocol {
+    /// The headers of an attempt: the caller's, except those that only the proxy may set.
+    fn request_headers(&self, head: &RequestHead, call: &Call, attempt: &Attempt<'_>) -> HeaderMap;
+
+    /// Checks whether the head of a response belongs to `call` and is `server`'s answer to it.
+    fn check_response(&self, head: &ResponseHead, call: &Call, server: &Entry) -> Verdict;
+
+    /// The server's rate limit, as stated in a response.
+    fn rate_limit(&self, head: &ResponseHead) -> RateLimit;
+
+    /// How long the server keeps the connection of a response open while idle, if it states that.
+    fn keep_alive(&self, head: &ResponseHead) -> Option<Duration>;
+}
+
+derives::data! {
+    /// A value read from the store, with the position in the store's history that it corresponds to.
+    pub struct Versioned<T> {
+        /// The value.
+        pub value: T,
+        /// Position from which to watch for changes.
+        pub position: u64,
+    }
+}
+
+impl Prompt {
+    /// The parts before the last, which other requests share.
+    pub fn shared_parts(&self) -> &[Part] {
+        self.parts.split_last().map_or(&[], |(_, shared)| shared)
+    }
+}
+
+/// A decoded item of the store.
+#[derive(Debug)]
+pub enum Record {
+    /// A revision of the settings.
+    Settings(Book),
+    /// A revision of the settings that is invalid; the text says why.
+    InvalidSettings(String),
+    /// A change of a backend server.
+    Server(Change),
+}
+
+/// The store's reply to a watch.
+#[derive(Debug)]
+pub enum WatchReply {
+    /// Changes in order; empty if the wait ended without one.
+    Changes(Versioned<Vec<Item>>),
+    /// The store no longer has the history after that position; all items must be listed again.
+    HistoryLost,
+}
+
+/// Why the store, or a peer asked in its place, gave no usable answer.
+#[derive(Debug, thiserror::Error)]
+pub enum StoreError {
+    /// No answer came.
+    #[error(
+        "the store gives no answer ({0}); the settings and servers read last are used until they are too old"
+    )]
+    Unavailable(String),
+    /// The VM of a peer refused the connection, so no process listens there.
+    #[error("peer {0} refused the connection; it may still be starting")]
+    ConnectionRefused(SocketAddr),
+    /// A peer answered, but can't reach the store itself.
+    #[error("peer {0} can't reach the store; other peers or the store itself are tried next")]
+    LostByPeer(SocketAddr),
+    /// The store rejected the call with this status.
+    #[error(
+        "the store rejected the call (status {0}); the settings and servers read last are used until they are too old"
+    )]
+    Rejected(u16),
+    /// The list of all items is longer than this many bytes, the limit of the call.
+    #[error("the list is longer than {0} bytes; it is requested from peers that have it")]
+    ListTooLong(usize),
+    /// The answer can't be decoded.
+    #[error("the store's answer can't be decoded ({0}); check what is published there")]
+    Malformed(String),
+}
+
+/// The store in which settings and backend servers are published.
+#[allow(async_fn_in_trait)]
+pub trait Store {
+    /// Lists all items: the settings in force, if any were published, and the backend servers. Fails
+    /// with [`StoreError::ListTooLong`] as soon as the answer exceeds `max_bytes`.
+    async fn list(&self, max_bytes: Option<usize>) -> Result<Versioned<Vec<Item>>, StoreError>;
+
+    /// Waits for changes after a position; returns with the first ones, or empty after `wait`.
+    async fn watch(&self, after: u64, wait: Duration) -> Result<WatchReply, StoreError>;
+
+    /// Decodes an item; none if it is neither settings nor a server.
+    fn decode(&self, item: &Item) -> Option<Record>;
+}
+
+/// An adapter for one platform.
+pub trait Adapter: 'static {
+    /// Protocol of the callers.
+    type Callers: CallerProtocol;
+    /// Protocol of the backend servers.
+    type Servers: ServerProtocol;
+    /// Client of the store.
+    type Store: Store;
+}
+
+/// The three implementations of an adapter.
+pub struct Protocols<A: Adapter> {
+    /// Protocol of the callers.
+    pub callers: A::Callers,
+    /// Protocol of the backend servers.
+    pub servers: A::Servers,
+    /// Client of the store.
+    pub store: A::Store,
+}
--- a/components/forward/src/attempt.rs
+++ b/components/forward/src/attempt.rs
@@ -12,11 +12,11 @@
 use link::{Body, Link};
 use policy::Ending;
 
+use crate::adapter::{Adapter, Attempt, RateLimit, ServerProtocol, Verdict};
 use crate::events::{Disorder, Scan};
 use crate::intake::Job;
 use crate::limits;
 use crate::mechanism::Mechanism;
-use crate::site::{Attempt, Limit, Servers, Site, Verdict};
 use crate::state::State;
 
 /// Time to connect to a server. One that is there answers within a round trip of a few tens of
@@ -140,7 +140,7 @@
     }
 
     /// Keeps the connection, once the answer has ended.
-    pub(crate) fn keep<S: Site>(self, state: &State<S>) {
+    pub(crate) fn keep<A: Adapter>(self, state: &State<A>) {
         if self.ended {
             state.pool.put(&self.address, self.body, self.idle);
         }
@@ -149,8 +149,8 @@
 
 /// Sends a request to a server and waits for the first of its answer that a caller can be given.
 /// Until then nothing is promised to the caller, and another attempt may follow.
-pub(crate) async fn ask<S: Site>(
-    state: &Rc<State<S>>,
+pub(crate) async fn ask<A: Adapter>(
+    state: &Rc<State<A>>,
     job: &Job,
     server: &Entry,
     after: Option<u64>,
@@ -170,11 +170,11 @@
     let (mut head, mut body) = link.exchange(head, job.body.clone()).await.map_err(lost)?;
     let mut crossed = 0;
     loop {
-        let verdict = state.site.servers.judge(&head, &job.call, server);
+        let verdict = state.adapter.servers.check_response(&head, &job.call, server);
         if matches!(verdict, Verdict::Answer | Verdict::Declined) {
-            let limit = state.site.servers.limit(&head);
+            let limit = state.adapter.servers.rate_limit(&head);
             // What a server says that runs nothing, or fails, needn't name its limit.
-            if limit != Limit::Unnamed || head.status.is_success() {
+            if limit != RateLimit::Unspecified || head.status.is_success() {
                 limits::answered(state, server, &limit, sent);
             }
         }
@@ -186,22 +186,22 @@
                 return Err(Trouble::Declined(status));
             }
             Verdict::Misdirected => return Err(Trouble::Misdirected),
-            Verdict::Broken(cause) => return Err(Trouble::Lost(cause)),
-            Verdict::Crossed if crossed < CROSSED => {
+            Verdict::Invalid(cause) => return Err(Trouble::Lost(cause)),
+            Verdict::Mismatched if crossed < CROSSED => {
                 crossed += 1;
                 state.metrics.crossed();
                 while body.next().await.map_err(lost)?.is_some() {}
                 (head, body) = body.further().await.map_err(lost)?;
             }
-            Verdict::Crossed => return Err(Trouble::Lost("it answers other requests".into())),
+            Verdict::Mismatched => return Err(Trouble::Lost("it answers other requests".into())),
         }
     }
     begin(state, job, server, head, body, after).await
 }
 
 /// The answer begins.
-async fn begin<S: Site>(
-    state: &Rc<State<S>>,
+async fn begin<A: Adapter>(
+    state: &Rc<State<A>>,
     job: &Job,
     server: &Entry,
     head: ResponseHead,
@@ -211,11 +211,11 @@
     let media = head.headers.get("content-type").and_then(|value| value.to_str().ok());
     let events = media.is_some_and(|media| media.starts_with("text/event-stream"));
     let success = head.status.is_success();
-    let idle = state.site.servers.idle(&head);
+    let idle = state.adapter.servers.keep_alive(&head);
     log::debug!(server = server.name.as_str(), idle:? = idle; "answer begins");
     let mut source = Source {
         status: head.status,
-        headers: end_to_end(&head.headers),
+        headers: end_to_end_headers(&head.headers),
         address: server.address.clone(),
         idle,
         body,
@@ -230,7 +230,7 @@
     if success && job.route().kind.streams() {
         return Err(Trouble::Lost("its answer isn't a stream of events".to_string()));
     }
-    let hold = if state.without.has(Mechanism::WholeAnswers) { WHOLE } else { 0 };
+    let hold = if state.disabled.is_enabled(Mechanism::AnswerBuffering) { WHOLE } else { 0 };
     let mut all = BytesMut::new();
     while let Some(part) = source.next().await? {
         all.extend_from_slice(&part.bytes);
@@ -249,8 +249,8 @@
 }
 
 /// Reads the rest of an answer that says nothing more, so that its connection can be kept.
-async fn drain<S: Site>(state: &State<S>, server: &Entry, head: &ResponseHead, mut body: Body) {
-    let idle = state.site.servers.idle(head);
+async fn drain<A: Adapter>(state: &State<A>, server: &Entry, head: &ResponseHead, mut body: Body) {
+    let idle = state.adapter.servers.keep_alive(head);
     loop {
         match body.next().await {
             Ok(Some(_)) => {}
@@ -266,8 +266,8 @@
 
 /// The head of an attempt: the method and target that the caller sent, and the headers of the
 /// server's dialect.
-fn outgoing<S: Site>(
-    state: &State<S>,
+fn outgoing<A: Adapter>(
+    state: &State<A>,
     job: &Job,
     server: &Entry,
     after: Option<u64>,
@@ -275,18 +275,18 @@
 ) -> RequestHead {
     let attempt = Attempt {
         server,
-        left: job.left(state),
+        time_left: job.left(state),
         workspace: job.found.workspace.as_ref().map(|workspace| workspace.name.as_str()),
-        urgency: job.found.urgency(),
-        after,
-        fetch: fetch.as_deref(),
+        priority: job.found.urgency(),
+        last_event_id: after,
+        fetch_from: fetch.as_deref(),
     };
     let mut head = RequestHead::default();
     head.method = job.head.method().clone();
     let target = job.head.uri().path_and_query().cloned();
     head.uri = target.map_or_else(Uri::default, Uri::from);
     head.version = Version::HTTP_11;
-    head.headers = state.site.servers.outgoing(job.head.head(), &job.call, &attempt);
+    head.headers = state.adapter.servers.request_headers(job.head.head(), &job.call, &attempt);
     head.set_connection_type(link::connection(false));
     head
 }
@@ -304,7 +304,7 @@
 ];
 
 /// The headers that a message keeps on its way to the next connection.
-pub fn end_to_end(headers: &HeaderMap) -> HeaderMap {
+pub fn end_to_end_headers(headers: &HeaderMap) -> HeaderMap {
     let named = headers.get_all("connection").filter_map(|value| value.to_str().ok());
     let named: Vec<_> =
         named.flat_map(|value| value.split(',')).map(|name| name.trim().to_lowercase()).collect();
--- a/components/forward/src/follow.rs
+++ b/components/forward/src/follow.rs
@@ -6,8 +6,8 @@
 use clock::Clock;
 use rand::Rng;
 
+use crate::adapter::{Adapter, Item, Record, Store, StoreError, Versioned, WatchReply};
 use crate::mechanism::Mechanism;
-use crate::site::{Event, Item, Reading, Site, Store, StoreError, Watched};
 use crate::source::{Duty, Failure, Source};
 use crate::state::State;
 use crate::{proof, updates};
@@ -37,14 +37,14 @@
 const LONGEST: Duration = Duration::from_millis(500);
 
 /// Starts the tasks; they end with the node.
-pub(crate) fn start<S: Site>(state: &Rc<State<S>>) {
+pub(crate) fn start<A: Adapter>(state: &Rc<State<A>>) {
     actix_rt::spawn(follow(Rc::downgrade(state)));
-    for seed in state.exchanged() {
+    for seed in state.other_seeds() {
         actix_rt::spawn(exchange(Rc::downgrade(state), seed));
     }
 }
 
-async fn follow<S: Site>(weak: Weak<State<S>>) {
+async fn follow<A: Adapter>(weak: Weak<State<A>>) {
     let Some(mut sources) = weak.upgrade().map(|state| state.sources()) else { return };
     let mut rounds = 0;
     loop {
@@ -69,7 +69,7 @@
                 rounds = 0;
                 tokio::time::sleep(space).await;
             }
-            Err(StoreError::Long(bytes)) => {
+            Err(StoreError::ListTooLong(bytes)) => {
                 log::info!(bytes = bytes; "the list of servers is long; seeds are asked for it");
                 sources.found_long();
             }
@@ -77,7 +77,7 @@
                 if !sources.probes() {
                     failed(&state, source, &cause);
                 }
-                sources.set_delegate(state.callers.pick());
+                sources.set_delegate(state.followers.pick());
                 if sources.failed(failure(&cause), duty, state.clock.now()) {
                     rounds += 1;
                     let pause = if sources.starting() { jittered(STARTS) } else { pause(rounds) };
@@ -91,7 +91,7 @@
 
 /// Drops servers that are missing as soon as they had their time to come back, also while a step goes
 /// on: a watch may wait for longer than a server that left may go on getting work.
-async fn expiring<S: Site, T>(state: &State<S>, step: impl Future<Output = T>) -> T {
+async fn expiring<A: Adapter, T>(state: &State<A>, step: impl Future<Output = T>) -> T {
     let mut step = std::pin::pin!(step);
     loop {
         let left = state.roster.borrow().left(state.clock.now());
@@ -103,42 +103,42 @@
     }
 }
 
-fn expire<S: Site>(state: &State<S>) {
+fn expire<A: Adapter>(state: &State<A>) {
     let gone = state.roster.borrow_mut().expire(state.clock.now());
-    state.changed(gone);
+    state.apply_servers(gone);
 }
 
 /// A node whose seeds have lost the store, and that now reads it itself for them, can't tell whether it was
 /// away: entries that are missing may only have lapsed.
-fn doubt_what_is_missing<S: Site>(state: &State<S>) {
-    let unseen = state.seeds_lost.get() && state.by_peer.get();
-    if unseen && state.without.has(Mechanism::Doubt) {
+fn doubt_what_is_missing<A: Adapter>(state: &State<A>) {
+    let unseen = state.seeds_lost_store.get() && state.from_peer.get();
+    if unseen && state.disabled.is_enabled(Mechanism::OutageGrace) {
         state.roster.borrow_mut().away();
     }
 }
 
-fn answered<S: Site>(state: &State<S>, source: Source) {
-    state.by_peer.set(source != Source::Store);
-    state.seeds_lost.set(false);
-    let failures = state.failures.take();
+fn answered<A: Adapter>(state: &State<A>, source: Source) {
+    state.from_peer.set(source != Source::Store);
+    state.seeds_lost_store.set(false);
+    let failures = state.store_failures.take();
     if failures > 0 {
         log::info!(failures = failures; "store answers again");
     }
 }
 
-fn failed<S: Site>(state: &State<S>, source: Source, cause: &StoreError) {
-    if source == Source::Store && state.without.has(Mechanism::Doubt) {
+fn failed<A: Adapter>(state: &State<A>, source: Source, cause: &StoreError) {
+    if source == Source::Store && state.disabled.is_enabled(Mechanism::OutageGrace) {
         state.roster.borrow_mut().away();
     }
-    if matches!(cause, StoreError::Lost(_)) {
-        state.seeds_lost.set(true);
+    if matches!(cause, StoreError::LostByPeer(_)) {
+        state.seeds_lost_store.set(true);
     }
-    let failures = state.failures.get() + 1;
-    state.failures.set(failures);
-    state.told.notify_waiters();
+    let failures = state.store_failures.get() + 1;
+    state.store_failures.set(failures);
+    state.updated.notify_waiters();
     state.metrics.settings.event("unread");
     if failures.is_power_of_two() {
-        log::warn!(cause:% = cause, failures = failures, age_ms = state.age_ms(); "store lost");
+        log::warn!(cause:% = cause, failures = failures, age_ms = state.proof_age_ms(); "store lost");
     }
 }
 
@@ -150,26 +150,29 @@
     pause.mul_f64(rand::rng().random_range(0.5..1.0))
 }
 
-fn duty<S: Site>(state: &State<S>) -> Duty {
-    let delegated = state.callers.is_delegate(state.clock.now());
+fn duty<A: Adapter>(state: &State<A>) -> Duty {
+    let delegated = state.followers.is_delegate(state.clock.now());
     Duty { delegated, nodes: state.fleet_nodes.get() }
 }
 
 fn failure(cause: &StoreError) -> Failure {
     match cause {
-        StoreError::Refused(_) => Failure::Refused,
-        StoreError::Lost(_) => Failure::Lost,
+        StoreError::ConnectionRefused(_) => Failure::Refused,
+        StoreError::LostByPeer(_) => Failure::Lost,
         _ => Failure::Down,
     }
 }
 
 /// Reads the store, unless what it lists is longer than `most` bytes, or waits there for changes; returns
 /// the time to let pass before the next call.
-async fn store<S: Site>(state: &Rc<State<S>>, most: Option<usize>) -> Result<Duration, StoreError> {
+async fn store<A: Adapter>(
+    state: &Rc<State<A>>,
+    most: Option<usize>,
+) -> Result<Duration, StoreError> {
     let asked = state.clock.awake();
-    let at = state.replica.borrow().at().filter(|_| !state.forgotten.take());
+    let at = state.replica.borrow().at().filter(|_| !state.history_lost.take());
     let Some(after) = at else {
-        let Reading { value, at } = state.site.store.read(most).await?;
+        let Versioned { value, position: at } = state.adapter.store.list(most).await?;
         state.roster.borrow_mut().answered(state.clock.now());
         let news = state.replica.borrow_mut().replace(value, at);
         take(state, news);
@@ -177,12 +180,12 @@
         state.loaded.set(true);
         return Ok(Duration::ZERO);
     };
-    let wait = if state.failures.get() > 0 { PROBE } else { WAIT };
-    let Reading { value, at } = match state.site.store.watch(after, wait).await? {
-        Watched::Changes(reading) => reading,
-        Watched::Forgotten => {
+    let wait = if state.store_failures.get() > 0 { PROBE } else { WAIT };
+    let Versioned { value, position: at } = match state.adapter.store.watch(after, wait).await? {
+        WatchReply::Changes(reading) => reading,
+        WatchReply::HistoryLost => {
             log::info!(after = after; "the store forgot its history; all is read again");
-            state.forgotten.set(true);
+            state.history_lost.set(true);
             return Ok(Duration::ZERO);
         }
     };
@@ -198,8 +201,8 @@
 
 /// Asks a peer that reads the store. Its proof is as old as it says, counted from when the answer was
 /// made, which is no earlier than the question and the time for which it was held.
-async fn peer<S: Site>(
-    state: &Rc<State<S>>,
+async fn peer<A: Adapter>(
+    state: &Rc<State<A>>,
     peer: std::net::SocketAddr,
 ) -> Result<Duration, StoreError> {
     let asked = state.clock.awake();
@@ -207,26 +210,28 @@
         None => FIRST,
         // A delegate may have to read the store first.
         Some(_) if state.is_seed() && !state.node().seeds.contains(&peer) => FIRST,
-        Some(_) if state.failures.get() > 0 => PROBE,
+        Some(_) if state.store_failures.get() > 0 => PROBE,
         Some(_) => WAIT,
     };
     let update = updates::ask(state, peer, wait).await?;
     let now = state.clock.now();
     if update.lost {
         // The store may be well, and only this peer cut off from it; others will tell.
-        return Err(StoreError::Lost(peer));
+        return Err(StoreError::LostByPeer(peer));
     }
     if update.unknown {
-        return Err(StoreError::Down(format!("peer {peer} knows too little of what changed")));
+        return Err(StoreError::Unavailable(format!(
+            "peer {peer} knows too little of what changed"
+        )));
     }
     match update.returned_ms.map(|ago| Duration::from_millis(ago.into())) {
-        Some(ago) if state.without.has(Mechanism::Doubt) => {
+        Some(ago) if state.disabled.is_enabled(Mechanism::OutageGrace) => {
             state.roster.borrow_mut().doubt(now.checked_sub(ago).unwrap_or(now));
         }
         _ => state.roster.borrow_mut().answered(now),
     }
-    state.set_fleet(update.work);
-    let garbled = |cause: wire::Error| StoreError::Garbled(cause.to_string());
+    state.set_fleet_work(update.work);
+    let garbled = |cause: wire::Error| StoreError::Malformed(cause.to_string());
     let changes = update.items.unpack().map_err(garbled)?;
     if let Some(base) = update.base {
         let all = base.items.unpack().map_err(garbled)?;
@@ -237,39 +242,39 @@
     take(state, items);
     state.loaded.set(true);
     let Some(age) = update.age_ms.map(|age| Duration::from_millis(age.into())) else {
-        return Err(StoreError::Down(format!("peer {peer} has no proof")));
+        return Err(StoreError::Unavailable(format!("peer {peer} has no proof")));
     };
     confirm(state, proof::of_peer(asked, Duration::from_millis(update.held_ms.into()), age));
     if age > PEERS {
         log::debug!(peer:% = peer, age_ms = age.as_millis() as u64; "a peer's proof is old");
-        return Err(StoreError::Lost(peer));
+        return Err(StoreError::LostByPeer(peer));
     }
     Ok(Duration::ZERO)
 }
 
 /// What is held was the newest at that time, unless the newest can't be used.
-fn confirm<S: Site>(state: &State<S>, at: Duration) {
-    if !state.unusable.get() {
+fn confirm<A: Adapter>(state: &State<A>, at: Duration) {
+    if !state.newest_invalid.get() {
         state.freshness.borrow_mut().confirm(at);
     }
-    state.told.notify_waiters();
+    state.updated.notify_waiters();
 }
 
-fn take<S: Site>(state: &State<S>, items: Vec<Item>) {
+fn take<A: Adapter>(state: &State<A>, items: Vec<Item>) {
     for item in items {
-        match state.site.store.decode(&item) {
-            Some(Event::Settings(book)) => state.accept(book),
-            Some(Event::Unusable(cause)) => {
+        match state.adapter.store.decode(&item) {
+            Some(Record::Settings(book)) => state.apply_settings(book),
+            Some(Record::InvalidSettings(cause)) => {
                 log::error!(
                     cause = cause.as_str();
                     "a revision can't be used; the last good one stays in force"
                 );
                 state.metrics.settings.event("refused");
-                state.unusable.set(true);
+                state.newest_invalid.set(true);
             }
-            Some(Event::Server(change)) => {
+            Some(Record::Server(change)) => {
                 let changed = state.roster.borrow_mut().apply(change, state.clock.now());
-                state.changed(changed);
+                state.apply_servers(changed);
             }
             None => {}
         }
@@ -278,12 +283,12 @@
 
 /// Nodes that read the store tell each other of the work that they heard of. A seed that takes none is
 /// told again the next time; nothing depends on it.
-async fn exchange<S: Site>(weak: Weak<State<S>>, seed: std::net::SocketAddr) {
+async fn exchange<A: Adapter>(weak: Weak<State<A>>, seed: std::net::SocketAddr) {
     while let Some(state) = weak.upgrade() {
         if let Err(cause) = updates::tell(&state, seed).await {
             log::debug!(cause:% = cause; "a seed wasn't told of work");
         }
-        state.set_fleet(state.fleet_work());
+        state.set_fleet_work(state.fleet_work());
         drop(state);
         tokio::time::sleep(EXCHANGE).await;
     }
--- a/components/forward/src/gossip.rs
+++ b/components/forward/src/gossip.rs
@@ -16,8 +16,8 @@
 use policy::{Backlog, Cached};
 use wire::gossip::{Load, Position, Report, Summary};
 
+use crate::adapter::Adapter;
 use crate::answer::Answer;
-use crate::site::Site;
 use crate::state::State;
 
 mod cursor;
@@ -74,9 +74,9 @@
 }
 
 /// Starts the task; it ends with the node.
-pub(crate) fn start<S: Site>(state: &Rc<State<S>>) {
+pub(crate) fn start<A: Adapter>(state: &Rc<State<A>>) {
     if state.is_seed() {
-        for seed in state.exchanged() {
+        for seed in state.other_seeds() {
             actix_rt::spawn(ask_seed(Rc::downgrade(state), seed));
         }
         actix_rt::spawn(as_seed(Rc::downgrade(state)));
@@ -86,7 +86,7 @@
 }
 
 /// Reports to a seed, and takes in what it answers; goes on to another where it doesn't.
-async fn as_node<S: Site>(weak: Weak<State<S>>) {
+async fn as_node<A: Adapter>(weak: Weak<State<A>>) {
     let Some(mut seeds) = weak.upgrade().map(|state| Seeds::new(state.seeds())) else { return };
     let (mut view, mut sent, mut last) = (View::default(), Sent::default(), None);
     let (mut suspicions, mut limited) = (Cursor::default(), Cursor::default());
@@ -115,7 +115,7 @@
                 take_parts(&state, &summary.parts);
                 suspects::answered(&state, &mut suspicions, &summary);
                 limits::answered(&state, &mut limited, &summary);
-                state.limits.answered(now);
+                state.rate_limits.answered(now);
                 view.apply(summary, now);
                 let (loads, sends) = sent.others(&view, now);
                 take(&state, &loads, &sends);
@@ -133,7 +133,7 @@
 }
 
 /// Sums what nodes report and other seeds know, for this node's own decisions too.
-async fn as_seed<S: Site>(weak: Weak<State<S>>) {
+async fn as_seed<A: Adapter>(weak: Weak<State<A>>) {
     let (mut view, mut sent) = (View::default(), Sent::default());
     while let Some(state) = weak.upgrade() {
         let now = state.clock.now();
@@ -154,7 +154,7 @@
 }
 
 /// Asks another seed for what changed in its cluster.
-async fn ask_seed<S: Site>(weak: Weak<State<S>>, seed: SocketAddr) {
+async fn ask_seed<A: Adapter>(weak: Weak<State<A>>, seed: SocketAddr) {
     let (name, mut suspicions, mut limited) =
         (seed.to_string(), Cursor::default(), Cursor::default());
     while let Some(state) = weak.upgrade() {
@@ -178,13 +178,13 @@
     }
 }
 
-async fn call<S: Site>(
-    state: &State<S>,
+async fn call<A: Adapter>(
+    state: &State<A>,
     seed: SocketAddr,
     path: &str,
     report: Report,
 ) -> Result<Summary, String> {
-    let request = state.peers.post(format!("http://{seed}{path}")).timeout(ANSWER);
+    let request = state.peer_client.post(format!("http://{seed}{path}")).timeout(ANSWER);
     let sent = request.send_body(report.encode()).await;
     let mut response = sent.map_err(|cause| cause.to_string())?;
     let body = response.body().limit(LARGEST_SUMMARY).await.map_err(|cause| cause.to_string())?;
@@ -195,7 +195,7 @@
 }
 
 /// Answers a node or another seed.
-pub(crate) async fn handle<S: Site>(state: &Rc<State<S>>, mut request: Request) -> Answer {
+pub(crate) async fn handle<A: Adapter>(state: &Rc<State<A>>, mut request: Request) -> Answer {
     let from_seed = request.path() == SEEDS;
     let body = match listen::whole(&mut request, LARGEST_REPORT).await {
         Ok(body) => body,
@@ -229,17 +229,18 @@
 
 /// Permits for one of this seed's nodes. Each seed hands out an equal part, so that together they keep to
 /// what servers take though they can't reach each other.
-fn issue<S: Site>(state: &State<S>) -> Vec<(u32, u32)> {
+fn issue<A: Adapter>(state: &State<A>) -> Vec<(u32, u32)> {
     let issuers = state.node().seeds.len().max(1) as f64;
     let nodes = state.gossip.hub.borrow().nodes();
-    state.limits.issue(issuers, nodes, state.clock.now())
+    state.rate_limits.issue(issuers, nodes, state.clock.now())
 }
 
 /// Sums all reports anew. Engines at which nobody waits and most places are free aren't worth telling.
-fn refresh<S: Site>(state: &State<S>) {
-    let (names, scheduler) = (state.names.borrow(), state.turns.scheduler.borrow());
+fn refresh<A: Adapter>(state: &State<A>) {
+    let (names, scheduler) = (state.registry.borrow(), state.turns.scheduler.borrow());
     let worth = |mut load: Load| {
-        let slots = names.keyed(load.server).and_then(|server| scheduler.slots(server));
+        let slots =
+            names.server_by_wire_key(load.server).and_then(|server| scheduler.slots(server));
         let taken: u32 = load.taken.iter().sum();
         if f64::from(taken) < f64::from(slots.unwrap_or_default()) * CROWDED {
             load.taken.clear();
@@ -253,7 +254,7 @@
 }
 
 /// What this node has at engines.
-fn own_report<S: Site>(state: &State<S>, sent: &mut Sent, known: Option<Position>) -> Report {
+fn own_report<A: Adapter>(state: &State<A>, sent: &mut Sent, known: Option<Position>) -> Report {
     let (loads, parts, sends) = (own(state), own_parts(state), own_sends(state));
     let number = sent.add(loads.clone(), sends.clone());
     let from = state.node().name.clone();
@@ -261,9 +262,9 @@
 }
 
 /// What this node's prompts take engines to read.
-fn own<S: Site>(state: &State<S>) -> Vec<Load> {
+fn own<A: Adapter>(state: &State<A>) -> Vec<Load> {
     let backlogs = state.turns.scheduler.borrow().backlogs(state.clock.now());
-    let names = state.names.borrow();
+    let names = state.registry.borrow();
     let load = |backlog: Backlog| {
         Some(Load {
             server: wire::key(&names.server(backlog.server)?.name),
@@ -277,7 +278,7 @@
 }
 
 /// Requests that this node sends to engines in ten seconds, by rank.
-fn own_sends<S: Site>(state: &State<S>) -> Vec<u32> {
+fn own_sends<A: Adapter>(state: &State<A>) -> Vec<u32> {
     by_rank(&state.turns.scheduler.borrow().sends(state.clock.now()), RATE_SECONDS)
 }
 
@@ -290,28 +291,29 @@
 }
 
 /// Parts of prompts that this node saw engines keep, that others haven't heard of.
-fn own_parts<S: Site>(state: &State<S>) -> Vec<(u32, u64)> {
+fn own_parts<A: Adapter>(state: &State<A>) -> Vec<(u32, u64)> {
     let updates = state.turns.scheduler.borrow_mut().cached(state.clock.now());
-    let names = state.names.borrow();
+    let names = state.registry.borrow();
     let row = |cached: Cached| Some((wire::key(&names.server(cached.server)?.name), cached.part));
     updates.into_iter().filter_map(row).collect()
 }
 
 /// Takes in what others saw engines keep.
-fn take_parts<S: Site>(state: &State<S>, parts: &[(u32, u64)]) {
-    let names = state.names.borrow();
-    let cached = |row: &(u32, u64)| Some(Cached { server: names.keyed(row.0)?, part: row.1 });
+fn take_parts<A: Adapter>(state: &State<A>, parts: &[(u32, u64)]) {
+    let names = state.registry.borrow();
+    let cached =
+        |row: &(u32, u64)| Some(Cached { server: names.server_by_wire_key(row.0)?, part: row.1 });
     let reported = parts.iter().filter_map(cached);
     state.turns.scheduler.borrow_mut().set_cached(reported, state.clock.now());
 }
 
 /// Takes in what all other nodes' requests take of engines, and how many they send.
-fn take<S: Site>(state: &State<S>, loads: &[Load], sends: &[u32]) {
-    let names = state.names.borrow();
+fn take<A: Adapter>(state: &State<A>, loads: &[Load], sends: &[u32]) {
+    let names = state.registry.borrow();
     let seconds = |ms: &u32| f64::from(*ms) / MILLIS;
     let backlog = |load: &Load| {
         Some(Backlog {
-            server: names.keyed(load.server)?,
+            server: names.server_by_wire_key(load.server)?,
             reading: load.reading_ms.iter().map(seconds).collect(),
             overdue: load.overdue_ms.iter().map(seconds).collect(),
             taken: load.taken.iter().map(|places| f64::from(*places)).collect(),
--- a/components/forward/src/gossip/limits.rs
+++ b/components/forward/src/gossip/limits.rs
@@ -7,39 +7,39 @@
 use wire::gossip::{Limit, Position, Report, Summary};
 
 use super::cursor::Cursor;
+use crate::adapter::Adapter;
 use crate::limits;
-use crate::site::Site;
 use crate::state::State;
 
 /// Limits are reported as requests in so many seconds, in whole numbers.
 const RATE_SECONDS: f64 = 1_000.0;
 
 /// Adds to a report what the seed may not know, and asks for the rest.
-pub(super) fn report<S: Site>(state: &State<S>, cursor: &mut Cursor, report: Report) -> Report {
-    let (named, version) = state.limits.throttle.borrow().since(cursor.reported());
+pub(super) fn report<A: Adapter>(state: &State<A>, cursor: &mut Cursor, report: Report) -> Report {
+    let (named, version) = state.rate_limits.throttle.borrow().since(cursor.reported());
     cursor.report(version);
     let limits = to_wire(&named, state.clock.now());
     Report { limits, limits_known: cursor.received(), ..report }
 }
 
 /// Takes in a seed's answer, with the permits in it.
-pub(super) fn answered<S: Site>(state: &State<S>, cursor: &mut Cursor, summary: &Summary) {
+pub(super) fn answered<A: Adapter>(state: &State<A>, cursor: &mut Cursor, summary: &Summary) {
     if !state.loaded.get() {
         // What is said of servers that aren't listed yet would be lost.
         return;
     }
     let now = state.clock.now();
     cursor.answered(summary.at.boot, summary.limits_at);
-    let before = state.limits.throttle.borrow().version();
+    let before = state.rate_limits.throttle.borrow().version();
     limits::learn(state, summary.limits.iter().filter_map(|limit| from_wire(limit, now)));
-    cursor.learned(before, state.limits.throttle.borrow().version());
+    cursor.learned(before, state.rate_limits.throttle.borrow().version());
     limits::permit(state, &summary.permits);
 }
 
 /// Takes in what a node or another seed reports, and adds to its answer what it may not know. Nodes get
 /// permits as well.
-pub(super) fn answer<S: Site>(
-    state: &State<S>,
+pub(super) fn answer<A: Adapter>(
+    state: &State<A>,
     (reported, known): (&[Limit], u64),
     at: Option<Position>,
     summary: Summary,
@@ -48,7 +48,7 @@
     let now = state.clock.now();
     limits::learn(state, reported.iter().filter_map(|limit| from_wire(limit, now)));
     let known = at.filter(|at| at.boot == summary.at.boot).map_or(0, |_| known);
-    let (named, limits_at) = state.limits.throttle.borrow().since(known);
+    let (named, limits_at) = state.rate_limits.throttle.borrow().since(known);
     Summary { limits: to_wire(&named, now), limits_at, permits, ..summary }
 }
 
--- a/components/forward/src/gossip/pace.rs
+++ b/components/forward/src/gossip/pace.rs
@@ -1,7 +1,7 @@
 //! How often nodes may report to a seed.
 //!
 //! Load pattern: a seed that stands on a small VM, and hundreds of nodes that each want an answer several
-//! times a second. Without a bound the answers fill its link, and requests that it forwards wait behind
+//! times a second. Disabled a bound the answers fill its link, and requests that it forwards wait behind
 //! them. So the pause grows with the nodes and with the bytes that an answer was seen to take.
 
 use std::time::Duration;
--- a/components/forward/src/gossip/suspects.rs
+++ b/components/forward/src/gossip/suspects.rs
@@ -11,14 +11,14 @@
 use wire::gossip::{self, Position, Report, Summary, Suspect};
 
 use super::cursor::Cursor;
-use crate::site::Site;
+use crate::adapter::Adapter;
 use crate::state::State;
 
 /// Crashes from which on a suspicion is passed on to nodes.
 const NODE_THRESHOLD: usize = 2;
 
 /// Adds to a report what the seed may not know, and asks for the rest.
-pub(super) fn report<S: Site>(state: &State<S>, cursor: &mut Cursor, report: Report) -> Report {
+pub(super) fn report<A: Adapter>(state: &State<A>, cursor: &mut Cursor, report: Report) -> Report {
     let (now, quarantine) = (state.clock.now(), state.crashes.quarantine.borrow());
     let (evidence, version) = quarantine.since(cursor.reported(), 1);
     cursor.report(version);
@@ -27,7 +27,7 @@
 }
 
 /// Takes in a seed's answer.
-pub(super) fn answered<S: Site>(state: &State<S>, cursor: &mut Cursor, summary: &Summary) {
+pub(super) fn answered<A: Adapter>(state: &State<A>, cursor: &mut Cursor, summary: &Summary) {
     cursor.answered(summary.at.boot, summary.suspects_at);
     let mut quarantine = state.crashes.quarantine.borrow_mut();
     let before = quarantine.version();
@@ -36,8 +36,8 @@
 }
 
 /// Takes in what a node reports, and adds to its answer what it may not know.
-pub(super) fn answer<S: Site>(
-    state: &State<S>,
+pub(super) fn answer<A: Adapter>(
+    state: &State<A>,
     (suspects, known): (&[Suspect], u64),
     at: Option<Position>,
     from_seed: bool,
--- a/components/forward/src/intake.rs
+++ b/components/forward/src/intake.rs
@@ -10,9 +10,9 @@
 use futures_util::StreamExt;
 use xxhash_rust::xxh3::xxh3_64;
 
+use crate::adapter::{Adapter, Call, Malformed};
 use crate::answer::Error;
-use crate::site::{Call, Malformed, Site};
-use crate::state::{Held, Moment, State};
+use crate::state::{OpenRequest, State, Timestamp};
 
 /// Part of a node's memory that bodies may take together: each is held once here and, while it is
 /// sent, once more in the connection's buffer.
@@ -29,7 +29,7 @@
     pub(crate) body: Bytes,
     pub(crate) found: Found,
     pub(crate) revision: u64,
-    pub(crate) arrived: Moment,
+    pub(crate) arrived: Timestamp,
     /// Time from its arrival in which the answer must have ended.
     pub(crate) limit: Duration,
     /// Hash of what it asks, the same for each try of it.
@@ -48,8 +48,8 @@
     }
 
     /// Time that is left for its answer.
-    pub(crate) fn left<S: Site>(&self, state: &State<S>) -> Duration {
-        self.limit.saturating_sub(state.since(self.arrived))
+    pub(crate) fn left<A: Adapter>(&self, state: &State<A>) -> Duration {
+        self.limit.saturating_sub(state.elapsed_since(self.arrived))
     }
 
     /// Proof that it may run more than once, if it may.
@@ -59,18 +59,18 @@
 }
 
 /// Takes a request in.
-pub(crate) async fn take<S: Site>(
-    state: &Rc<State<S>>,
+pub(crate) async fn take<A: Adapter>(
+    state: &Rc<State<A>>,
     mut head: Request,
     call: Result<Call, Malformed>,
-    arrived: Moment,
-    held: &mut Held<S>,
+    arrived: Timestamp,
+    held: &mut OpenRequest<A>,
 ) -> Result<Job, Error> {
     let book = book(state).await.ok_or(Error::Stale)?;
     sized(&head, &book)?;
     let call = call.map_err(|Malformed(what)| Error::Malformed(what))?;
     let found = find(state, &book, &call)?;
-    let limit = call.patience.min(found.route.timeout);
+    let limit = call.timeout.min(found.route.timeout);
     let body = tokio::time::timeout(limit, body(state, &mut head, &book, held)).await;
     let body = body.map_err(|_| Error::Slow)??;
     listen::received(&head);
@@ -94,11 +94,11 @@
 /// What is in force. A node that has just started knows it within some tens of milliseconds; whoever
 /// comes before waits for it. Refused at once, callers who try again once or twice would have used that
 /// up, and all come together where all nodes lost power.
-async fn book<S: Site>(state: &State<S>) -> Option<Rc<Book>> {
-    let held = || state.book.borrow().clone();
+async fn book<A: Adapter>(state: &State<A>) -> Option<Rc<Book>> {
+    let held = || state.settings.borrow().clone();
     let read = async {
         while !state.loaded.get() || held().is_none() {
-            state.told.notified().await;
+            state.updated.notified().await;
         }
     };
     let _ = tokio::time::timeout(STARTING, read).await;
@@ -106,9 +106,9 @@
 }
 
 /// Where a call belongs. What a node holds may be too old to deny a call, or to believe a key.
-fn find<S: Site>(state: &State<S>, book: &Book, call: &Call) -> Result<Found, Error> {
+fn find<A: Adapter>(state: &State<A>, book: &Book, call: &Call) -> Result<Found, Error> {
     let found = book.find(&call.host, &call.path, call.key.as_deref());
-    let fresh = state.fresh();
+    let fresh = state.is_fresh();
     match found {
         Ok(found) if found.workspace.is_none() || fresh => Ok(found),
         Err(Denied::Route) if fresh => Err(Error::Route),
@@ -129,11 +129,11 @@
 }
 
 /// Reads a body whole.
-async fn body<S: Site>(
-    state: &State<S>,
+async fn body<A: Adapter>(
+    state: &State<A>,
     request: &mut Request,
     book: &Book,
-    held: &mut Held<S>,
+    held: &mut OpenRequest<A>,
 ) -> Result<Bytes, Error> {
     let most = (state.node().room.memory_mb << 20) / BODIES;
     let mut payload = request.take_payload();
@@ -144,8 +144,8 @@
         if body.len() + bytes.len() > book.intake.body {
             return Err(Error::Large(book.intake.body));
         }
-        held.weigh(bytes.len());
-        if state.bytes.get() as u64 > most {
+        held.add_body_bytes(bytes.len());
+        if state.body_bytes.get() as u64 > most {
             return Err(Error::Full);
         }
         body.extend_from_slice(&bytes);
@@ -154,30 +154,31 @@
 }
 
 /// A request as the decisions see it.
-fn request<S: Site>(
-    state: &State<S>,
+fn request<A: Adapter>(
+    state: &State<A>,
     book: &Book,
     call: &Call,
     found: &Found,
-    arrived: Moment,
+    arrived: Timestamp,
     limit: Duration,
 ) -> Result<policy::Request, Error> {
     // The last part is the request's own; what comes before it is shared.
     let shared = call.prompt.parts.len().checked_sub(2).map(|index| call.prompt.parts[index].id);
     let session = shared.unwrap_or_else(|| xxh3_64(call.id.as_bytes()));
     let service = found.route.service(session).ok_or(Error::Route)?;
-    let mut names = state.names.borrow_mut();
+    let mut names = state.registry.borrow_mut();
     let model = names.model(service, call.model.as_deref());
-    let (class, workspace) = names.place(&mut state.turns.scheduler.borrow_mut(), book, found);
-    let left = limit.saturating_sub(state.since(arrived));
+    let (class, workspace) =
+        names.class_and_workspace(&mut state.turns.scheduler.borrow_mut(), book, found);
+    let left = limit.saturating_sub(state.elapsed_since(arrived));
     Ok(policy::Request {
         class,
         workspace,
         model,
         prefix: session,
         prompt_tokens: call.prompt.tokens,
-        shared: call.prompt.shared().to_vec(),
-        max_tokens: call.prompt.answer,
+        shared: call.prompt.shared_parts().to_vec(),
+        max_tokens: call.prompt.max_tokens,
         arrived: arrived.at,
         deadline: state.clock.now() + left,
         idempotent: found.route.kind.repeatable(),
--- a/components/forward/src/lib.rs
+++ b/components/forward/src/lib.rs
@@ -1,7 +1,9 @@
-//! Forwards requests unread between callers and backend servers. What a site speaks stands behind
-//! the interfaces of [`site`]; whom to serve, who waits and where work goes is decided by `policy`, as
-//! for the router's own interface.
+//! Proxies requests between callers and backend servers without reading their bodies. The traits of
+//! [`adapter`] define how a platform's callers, servers and store communicate; the crate `policy`
+//! decides which requests are served, which wait and which server each is sent to, as it does for the
+//! router's own interface.
 
+pub mod adapter;
 mod answer;
 mod attempt;
 mod crossing;
@@ -11,13 +13,12 @@
 mod intake;
 mod limits;
 mod mechanism;
-mod names;
 mod node;
 mod operators;
 mod proof;
+mod registry;
 mod replica;
 mod serve;
-pub mod site;
 mod source;
 mod state;
 mod stream;
@@ -30,40 +31,41 @@
 use listen::{Limits, Listener};
 use tokio::sync::watch;
 
-pub use attempt::end_to_end;
-pub use node::{Error, Node, Promises, Room};
+pub use attempt::end_to_end_headers;
+pub use node::{Error, Node, Promises, Resources};
 
+use crate::adapter::{Adapter, Protocols};
 use crate::mechanism::Mechanism;
-use crate::site::{Dialects, Site};
 use crate::state::State;
 
-/// Time that the callers' listener stays open once readiness is gone: the balancer asks once a
-/// second and takes a node out after two misses.
-const BALANCER: Duration = Duration::from_millis(2_500);
-/// Time before the end of the grace at which what is left is cut, so that the cut is logged.
-const SPARE: Duration = Duration::from_millis(400);
-/// Requests that a log of what was cut names one by one.
-const NAMED: usize = 100;
+/// Time that the callers' listener stays open after the node reports that it isn't ready: the load
+/// balancer checks every second and removes a node after two failed checks.
+const BALANCER_DELAY: Duration = Duration::from_millis(2_500);
+/// Time before the end of the grace period at which the remaining requests are aborted, so that
+/// there is time to log them.
+const ABORT_MARGIN: Duration = Duration::from_millis(400);
+/// Aborted requests that are logged one by one.
+const LOGGED_ABORTS: usize = 100;
 
 /// A running node.
-pub struct Forward<S: Site> {
-    state: Rc<State<S>>,
+pub struct Proxy<A: Adapter> {
+    state: Rc<State<A>>,
     callers: Listener,
     operators: Listener,
     peers: Listener,
 }
 
-impl<S: Site> Forward<S> {
-    /// Starts a node. It is ready once it knows what is in force.
+impl<A: Adapter> Proxy<A> {
+    /// Starts a node. It is ready once it has the settings in force.
     ///
     /// # Errors
-    /// When an address can't be listened at.
-    pub async fn start(node: Node, site: Dialects<S>) -> anyhow::Result<Self> {
+    /// When an address can't be bound.
+    pub async fn start(node: Node, adapter: Protocols<A>) -> anyhow::Result<Self> {
         let (callers, operators, peers) = (node.callers, node.operators, node.peers);
-        let state = State::new(node, site);
+        let state = State::new(node, adapter);
         let shared = state.clone();
         let handler = move |request| serve::handle(shared.clone(), request);
-        let limits = state.intake.subscribe();
+        let limits = state.listener_limits.subscribe();
         let callers = Listener::open_for("callers", callers, limits, handler).await?;
         let shared = state.clone();
         let handler = move |request| operators::handle(shared.clone(), request);
@@ -73,48 +75,49 @@
         let handler = move |request| updates::handle(shared.clone(), request);
         let own = watch::channel(Limits::default()).1;
         let peers = Listener::open_for("peers", peers, own, handler).await?;
-        let left_out = state.node().without.join(", ");
-        if !left_out.is_empty() {
-            log::warn!(without = left_out.as_str(); "mechanisms are left out");
+        let disabled = state.node().disabled.join(", ");
+        if !disabled.is_empty() {
+            log::warn!(without = disabled.as_str(); "mechanisms are disabled");
         }
         follow::start(&state);
-        if state.without.has(Mechanism::Loads) {
+        if state.disabled.is_enabled(Mechanism::LoadGossip) {
             gossip::start(&state);
         }
         state.turns.start();
-        Ok(Forward { state, callers, operators, peers })
+        Ok(Proxy { state, callers, operators, peers })
     }
 
-    /// Where callers reach it.
-    pub fn callers(&self) -> SocketAddr {
+    /// Address of the listener for callers.
+    pub fn caller_address(&self) -> SocketAddr {
         self.callers.address()
     }
 
-    /// Where operators reach it.
-    pub fn operators(&self) -> SocketAddr {
+    /// Address of the listener for operators.
+    pub fn operator_address(&self) -> SocketAddr {
         self.operators.address()
     }
 
-    /// Where peers reach it.
-    pub fn peers(&self) -> SocketAddr {
+    /// Address of the listener for peers.
+    pub fn peer_address(&self) -> SocketAddr {
         self.peers.address()
     }
 
-    /// Whether it knows what is in force and isn't draining.
+    /// Whether the node has the settings in force, can prove that they are the newest, and isn't
+    /// draining.
     pub fn ready(&self) -> bool {
         self.state.ready()
     }
 
-    /// Requests that were received and haven't been answered to the end.
-    pub fn held(&self) -> usize {
-        self.state.held()
+    /// Number of requests that were received and not yet answered to the end.
+    pub fn open_requests(&self) -> usize {
+        self.state.open_requests()
     }
 
-    /// Puts the node's own settings, read again, in force. Nothing under way is cut; where the node
-    /// listens and where its store is stay as they are until it starts anew.
+    /// Applies the node's own settings after they were read again. No open request is aborted;
+    /// changed addresses of the listeners and the store only take effect after a restart.
     pub fn reload(&self, node: Node) {
-        let held = self.state.node();
-        let moved = (held.callers, held.operators, held.store)
+        let current = self.state.node();
+        let moved = (current.callers, current.operators, current.store)
             != (node.callers, node.operators, node.store);
         if moved {
             log::warn!("addresses in the node's settings changed; restart the node to use them");
@@ -122,30 +125,30 @@
         self.state.reload(node);
     }
 
-    /// Goes down without cutting a request: readiness goes first, the listener stays open until the
-    /// balancer has noticed, and what is in flight is answered within the grace. Returns the names
-    /// of requests that were cut.
+    /// Shuts down gracefully: reports that the node isn't ready, keeps the listener open until the
+    /// load balancer has noticed, and finishes open requests within the grace period. Requests that
+    /// are still open then are aborted; returns their ids.
     pub async fn drain(&self) -> Vec<String> {
         self.state.draining.set(true);
         self.callers.drain();
-        let grace = self.state.node().grace().saturating_sub(SPARE);
-        let balancer = BALANCER.min(grace / 2);
-        tokio::time::sleep(balancer).await;
+        let grace = self.state.node().grace().saturating_sub(ABORT_MARGIN);
+        let balancer_delay = BALANCER_DELAY.min(grace / 2);
+        tokio::time::sleep(balancer_delay).await;
         let answered = async {
             self.callers.close().await;
-            self.state.idle().await;
+            self.state.wait_until_idle().await;
         };
-        let _ = tokio::time::timeout(grace - balancer, answered).await;
-        self.cut()
+        let _ = tokio::time::timeout(grace - balancer_delay, answered).await;
+        self.abort()
     }
 
-    /// Cuts all callers' connections; returns the names of requests that were cut.
-    pub fn cut(&self) -> Vec<String> {
-        let cut = self.state.held_ids();
-        for id in cut.iter().take(NAMED) {
-            log::warn!(request = id.as_str(); "cut");
+    /// Closes all callers' connections at once; returns the ids of the requests that were aborted.
+    pub fn abort(&self) -> Vec<String> {
+        let aborted = self.state.open_request_ids();
+        for id in aborted.iter().take(LOGGED_ABORTS) {
+            log::warn!(request = id.as_str(); "request aborted");
         }
         self.callers.cut();
-        cut
+        aborted
     }
 }
--- a/components/forward/src/limits.rs
+++ b/components/forward/src/limits.rs
@@ -9,8 +9,8 @@
 use clock::Clock;
 use policy::{Issuer, Named, Throttle};
 
+use crate::adapter::{Adapter, RateLimit};
 use crate::mechanism::Mechanism;
-use crate::site::{Limit, Site};
 use crate::state::State;
 
 /// Time without an answer of a seed after which a node goes by a part of its own.
@@ -43,19 +43,24 @@
 }
 
 /// Takes in what the head of an answer says, to a request that was sent at a time.
-pub(crate) fn answered<S: Site>(state: &State<S>, server: &Entry, limit: &Limit, sent: Instant) {
+pub(crate) fn answered<A: Adapter>(
+    state: &State<A>,
+    server: &Entry,
+    limit: &RateLimit,
+    sent: Instant,
+) {
     let (key, now) = (wire::key(&server.name), state.clock.now());
-    let before = state.limits.throttle.borrow().rate(key);
+    let before = state.rate_limits.throttle.borrow().rate(key);
     let rate = match limit {
-        Limit::Unnamed => None,
-        Limit::Rate(rate) => Some(*rate),
-        Limit::Unreadable(text) => {
+        RateLimit::Unspecified => None,
+        RateLimit::PerSecond(rate) => Some(*rate),
+        RateLimit::Malformed(text) => {
             log::warn!(server = server.name.as_str(), limit = text.as_str(); "a rate limit can't be read");
             return;
         }
     };
-    state.limits.throttle.borrow_mut().answered(key, rate, sent, now);
-    let after = state.limits.throttle.borrow().rate(key);
+    state.rate_limits.throttle.borrow_mut().answered(key, rate, sent, now);
+    let after = state.rate_limits.throttle.borrow().rate(key);
     if before.is_some() != after.is_some() {
         log::info!(server = server.name.as_str(), rate_per_s = after; "server's rate limit");
         apply(state);
@@ -63,37 +68,39 @@
 }
 
 /// Takes in what other nodes know of servers that are listed.
-pub(crate) fn learn<S: Site>(state: &State<S>, named: impl Iterator<Item = Named>) {
-    let before = state.limits.throttle.borrow().version();
-    for named in named.filter(|named| state.names.borrow().keyed(named.server).is_some()) {
-        state.limits.throttle.borrow_mut().learn(named);
+pub(crate) fn learn<A: Adapter>(state: &State<A>, named: impl Iterator<Item = Named>) {
+    let before = state.rate_limits.throttle.borrow().version();
+    for named in
+        named.filter(|named| state.registry.borrow().server_by_wire_key(named.server).is_some())
+    {
+        state.rate_limits.throttle.borrow_mut().learn(named);
     }
-    if state.limits.throttle.borrow().version() > before {
+    if state.rate_limits.throttle.borrow().version() > before {
         apply(state);
     }
 }
 
 /// Tells the decisions which servers have named a limit. Without the exchange between nodes there are no
 /// permits, so there is none for them either.
-pub(crate) fn apply<S: Site>(state: &State<S>) {
-    if !state.without.has(Mechanism::Loads) {
+pub(crate) fn apply<A: Adapter>(state: &State<A>) {
+    if !state.disabled.is_enabled(Mechanism::LoadGossip) {
         return;
     }
-    let names = state.names.borrow();
+    let names = state.registry.borrow();
     let mut scheduler = state.turns.scheduler.borrow_mut();
-    for named in state.limits.throttle.borrow().all() {
-        if let Some(server) = names.keyed(named.server) {
+    for named in state.rate_limits.throttle.borrow().all() {
+        if let Some(server) = names.server_by_wire_key(named.server) {
             scheduler.set_limited(server, named.rate.is_some());
         }
     }
 }
 
 /// Takes in permits.
-pub(crate) fn permit<S: Site>(state: &State<S>, permits: &[(u32, u32)]) {
+pub(crate) fn permit<A: Adapter>(state: &State<A>, permits: &[(u32, u32)]) {
     let now = state.clock.now();
-    let names = state.names.borrow();
+    let names = state.registry.borrow();
     for (server, count) in permits {
-        if let Some(server) = names.keyed(*server) {
+        if let Some(server) = names.server_by_wire_key(*server) {
             state.turns.scheduler.borrow_mut().permit(server, *count, now);
         }
     }
@@ -104,15 +111,15 @@
 }
 
 /// Permits of a node's own, where no seed has answered for a while.
-pub(crate) fn alone<S: Site>(state: &State<S>) {
+pub(crate) fn alone<A: Adapter>(state: &State<A>) {
     let now = state.clock.now();
-    if state.limits.answered.get().is_some_and(|answered| now < answered + ALONE) {
+    if state.rate_limits.answered.get().is_some_and(|answered| now < answered + ALONE) {
         return;
     }
     let nodes = match state.fleet_nodes.get() {
         0 | 1 if !state.node().seeds.is_empty() => UNKNOWN_FLEET,
         nodes => nodes.max(1),
     };
-    let permits = state.limits.issue(f64::from(nodes) / ALONE_PART, 1, now);
+    let permits = state.rate_limits.issue(f64::from(nodes) / ALONE_PART, 1, now);
     permit(state, &permits);
 }
--- a/components/forward/src/node.rs
+++ b/components/forward/src/node.rs
@@ -1,4 +1,4 @@
-//! A node's own settings.
+//! Parses a node's own settings, which are read from a file and not from the store.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -6,7 +6,7 @@
 
 use serde::Deserialize;
 
-use crate::mechanism::Without;
+use crate::mechanism::Disabled;
 
 derives::data! {
     /// A node's own settings.
@@ -14,116 +14,119 @@
     pub struct Node {
         /// Name, unique among the nodes.
         pub name: String,
-        /// Failure domain it stands in.
+        /// Failure domain that the node is in.
         pub domain: String,
         /// Region of each failure domain.
         pub domains: BTreeMap<String, String>,
         /// Listener for callers.
         pub callers: SocketAddr,
-        /// Listener for operators and for the balancer's question whether the node is ready.
+        /// Listener for operators and for the load balancer's readiness checks.
         pub operators: SocketAddr,
         /// Listener for peers.
         pub peers: SocketAddr,
-        /// Peers' listeners of the nodes that read the store for the others; all nodes know the same.
+        /// Peer addresses of the seeds, the nodes that read the store for all others; the same list on
+        /// all nodes.
         #[serde(default)]
         pub seeds: Vec<SocketAddr>,
-        /// Where settings and servers are published.
+        /// Address of the store in which settings and servers are published.
         pub store: SocketAddr,
-        /// Mechanisms that the node leaves out, by the words that docs/SETTINGS.md lists.
-        #[serde(default)]
-        pub without: Vec<String>,
-        /// What the node may use.
-        pub room: Room,
-        /// What operators and callers were promised.
+        /// Mechanisms that the node disables, by the words that docs/SETTINGS.md lists.
+        #[serde(default, rename = "without")]
+        pub disabled: Vec<String>,
+        /// Resources that the node may use.
+        pub room: Resources,
+        /// Guarantees to operators and callers.
         pub promises: Promises,
     }
 
-    /// What a node may use.
+    /// Resources that a node may use.
     #[derive(Deserialize)]
-    pub struct Room {
+    pub struct Resources {
         /// Memory in MB.
         pub memory_mb: u64,
         /// Open files and connections.
         pub descriptors: u64,
-        /// What its link carries, in Mbit/s.
+        /// Bandwidth of its network link in Mbit/s.
         #[serde(default = "link_mbps")]
         pub link_mbps: f64,
     }
 
-    /// What operators and callers were promised.
+    /// Guarantees to operators and callers.
     #[derive(Deserialize)]
     pub struct Promises {
-        /// A key that was taken away isn't served any more after this, in ms.
+        /// Time after which a revoked key is no longer served, in ms.
         pub revocation_ms: u64,
-        /// A node that is told to stop is gone after this, in s.
+        /// Time within which a node that is told to stop has exited, in s.
         pub grace_s: f64,
-        /// Repeats as a part of fresh requests.
+        /// Retries as a fraction of first attempts.
         pub repeats: f64,
     }
 }
 
-/// What a VM's link carries where the settings don't say, in Mbit/s.
-const LINK_MBPS: f64 = 1_000.0;
-/// Bytes a second in one Mbit/s.
-const MBPS_BYTES: f64 = 125_000.0;
+/// Default bandwidth of a VM's link in Mbit/s.
+const DEFAULT_LINK_MBPS: f64 = 1_000.0;
+/// Bytes per second in one Mbit/s.
+const BYTES_PER_MBPS: f64 = 125_000.0;
 
 fn link_mbps() -> f64 {
-    LINK_MBPS
+    DEFAULT_LINK_MBPS
 }
 
-impl Room {
-    /// Bytes a second that the node's link carries.
-    pub(crate) fn link_bytes(&self) -> f64 {
-        self.link_mbps * MBPS_BYTES
+impl Resources {
+    /// Bandwidth of the node's link in bytes per second.
+    pub(crate) fn link_bytes_per_second(&self) -> f64 {
+        self.link_mbps * BYTES_PER_MBPS
     }
 }
 
-/// A node's settings that can't be used.
+/// An error in a node's settings.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// The text isn't as it should be.
-    #[error("{origin} isn't a node's settings ({cause}); see docs/PLATFORM.md for what it holds")]
+    /// The text isn't valid TOML, or a field is missing or has the wrong type.
+    #[error(
+        "{origin} isn't valid as a node's settings ({cause}); see docs/PLATFORM.md for the fields"
+    )]
     Malformed {
         /// Where the text came from.
         origin: String,
-        /// What the reader said.
+        /// The parser's error.
         cause: Box<toml::de::Error>,
     },
-    /// A mechanism that there isn't.
+    /// An unknown mechanism.
     #[error("{origin}: `without` names `{word}`; name some of: {known}")]
     Mechanism {
         /// Where the text came from.
         origin: String,
-        /// What it names.
+        /// The unknown word.
         word: String,
-        /// What there is.
+        /// The words of all mechanisms.
         known: String,
     },
-    /// A value that can't be worked with.
+    /// A value is out of range or inconsistent.
     #[error("{origin}: {what}; set it to {remedy}")]
     Value {
         /// Where the text came from.
         origin: String,
         /// What is wrong.
         what: &'static str,
-        /// What would do.
+        /// A valid value.
         remedy: &'static str,
     },
 }
 
-/// Part of the promised time for a withdrawn key within which the proof must be young; the rest is
-/// for the difference between two machines' clocks.
-const PROOF: f64 = 0.97;
+/// Fraction of the guaranteed revocation time that the proof that the settings are the newest may be
+/// old; the rest allows for the difference between two VMs' clocks.
+const PROOF_AGE_FRACTION: f64 = 0.97;
 
 impl Node {
-    /// Reads a node's settings from TOML; `origin` names the text in errors.
+    /// Parses a node's settings from TOML; `origin` names the text in errors.
     ///
     /// ```
     /// assert!(forward::Node::parse("nonsense = 1", "node.toml").is_err());
     /// ```
     ///
     /// # Errors
-    /// When a field is missing, or of another type, or out of range.
+    /// When a field is missing, has the wrong type, or is out of range.
     pub fn parse(text: &str, origin: &str) -> Result<Self, Error> {
         let node: Node = toml::from_str(text).map_err(|cause| Error::Malformed {
             origin: origin.to_string(),
@@ -146,9 +149,9 @@
         if !(0.0..=3_600.0).contains(&node.promises.grace_s) {
             return Err(value("promises.grace_s is out of range", "seconds from 0 to 3600"));
         }
-        for word in &node.without {
+        for word in &node.disabled {
             let (origin, word) = (origin.to_string(), word.clone());
-            Without::parse(std::slice::from_ref(&word)).map_err(|known| Error::Mechanism {
+            Disabled::parse(std::slice::from_ref(&word)).map_err(|known| Error::Mechanism {
                 origin,
                 word,
                 known,
@@ -157,22 +160,22 @@
         Ok(node)
     }
 
-    /// What the node leaves out.
-    pub(crate) fn left_out(&self) -> Without {
-        Without::parse(&self.without).unwrap_or_default()
+    /// The mechanisms that the node disables.
+    pub(crate) fn disabled_mechanisms(&self) -> Disabled {
+        Disabled::parse(&self.disabled).unwrap_or_default()
     }
 
-    /// The region that the node stands in.
+    /// Region of the node's failure domain; empty if it isn't known.
     pub fn region(&self) -> &str {
         self.domains.get(&self.domain).map_or("", String::as_str)
     }
 
-    /// How old the proof that settings are the newest may be.
-    pub fn proof(&self) -> Duration {
-        Duration::from_millis(self.promises.revocation_ms).mul_f64(PROOF)
+    /// Longest age of the proof that the settings are the newest, up to which keys are accepted.
+    pub fn max_proof_age(&self) -> Duration {
+        Duration::from_millis(self.promises.revocation_ms).mul_f64(PROOF_AGE_FRACTION)
     }
 
-    /// Time from being told to stop to being gone.
+    /// Time from being told to stop until the process has exited.
     pub fn grace(&self) -> Duration {
         Duration::from_secs_f64(self.promises.grace_s)
     }
--- a/components/forward/src/operators.rs
+++ b/components/forward/src/operators.rs
@@ -4,12 +4,12 @@
 
 use actix_http::{Request, Response, StatusCode};
 
+use crate::adapter::Adapter;
 use crate::answer::Answer;
-use crate::site::Site;
 use crate::state::State;
 
 /// Answers one call.
-pub(crate) async fn handle<S: Site>(state: Rc<State<S>>, request: Request) -> Answer {
+pub(crate) async fn handle<A: Adapter>(state: Rc<State<A>>, request: Request) -> Answer {
     match request.path() {
         "/healthz" => Response::new(StatusCode::OK).map_into_boxed_body(),
         "/readyz" if state.ready() => Response::new(StatusCode::OK).map_into_boxed_body(),
@@ -25,11 +25,11 @@
 }
 
 /// What the node believes.
-fn status<S: Site>(state: &State<S>) -> serde_json::Value {
+fn status<A: Adapter>(state: &State<A>) -> serde_json::Value {
     use clock::Clock;
     let now = state.clock.now();
     let scheduler = state.turns.scheduler.borrow();
-    let names = state.names.borrow();
+    let names = state.registry.borrow();
     let servers = names.servers().map(|(key, entry)| {
         let belief = scheduler.belief(key, now);
         serde_json::json!({
@@ -46,11 +46,11 @@
         "node": state.node().name,
         "ready": state.ready(),
         "draining": state.draining.get(),
-        "revision": state.book.borrow().as_ref().map(|book| book.revision),
-        "age_ms": state.age_ms(),
-        "held": state.held(),
+        "revision": state.settings.borrow().as_ref().map(|book| book.revision),
+        "age_ms": state.proof_age_ms(),
+        "held": state.open_requests(),
         "quarantined": state.crashes.quarantine.borrow().count(now),
-        "without": state.node().without,
+        "without": state.node().disabled,
         "waiting": scheduler.waiting(),
         "servers": servers.collect::<Vec<_>>(),
     })
--- a/components/forward/src/names.rs
+++ b/components/forward/src/registry.rs
@@ -26,7 +26,7 @@
 
 /// Keys and their names.
 #[derive(Default)]
-pub(crate) struct Names {
+pub(crate) struct Registry {
     servers: SlotMap<ids::Server, Rc<Entry>>,
     by_name: HashMap<String, ids::Server>,
     /// By the key of their names, by which nodes tell each other of them.
@@ -46,14 +46,14 @@
     by_domain: HashMap<String, ids::Domain>,
 }
 
-impl Names {
+impl Registry {
     /// The server of a key.
     pub(crate) fn server(&self, key: ids::Server) -> Option<&Rc<Entry>> {
         self.servers.get(key)
     }
 
     /// The server whose name has a key, as by [`wire::key`].
-    pub(crate) fn keyed(&self, key: u32) -> Option<ids::Server> {
+    pub(crate) fn server_by_wire_key(&self, key: u32) -> Option<ids::Server> {
         self.by_key.get(&key).copied()
     }
 
@@ -139,7 +139,7 @@
     }
 
     /// The class and workspace of a request, made known to the decisions if they are new.
-    pub(crate) fn place(
+    pub(crate) fn class_and_workspace(
         &mut self,
         scheduler: &mut Scheduler,
         book: &Book,
@@ -191,7 +191,7 @@
     }
 }
 
-impl Names {
+impl Registry {
     /// Tells the decisions how fast engines take over prompts from each other, where that changed.
     fn apply_fetches(&mut self, scheduler: &mut Scheduler, book: &Book) {
         let rate = |(name, service): (&String, &catalog::Service)| {
--- a/components/forward/src/replica.rs
+++ b/components/forward/src/replica.rs
@@ -4,7 +4,7 @@
 
 use wire::updates::{Base, Items};
 
-use crate::site::Item;
+use crate::adapter::Item;
 
 /// Deletions that are remembered. A peer that knows less than the oldest of them is told all.
 const DELETED: usize = 1_000;
--- a/components/forward/src/replica/tests.rs
+++ b/components/forward/src/replica/tests.rs
@@ -1,5 +1,5 @@
 use super::{CHANGED, DELETED, Replica};
-use crate::site::Item;
+use crate::adapter::Item;
 
 fn item(key: &str, revision: u64) -> Item {
     let value = Some(vec![revision as u8].into());
--- a/components/forward/src/serve.rs
+++ b/components/forward/src/serve.rs
@@ -11,11 +11,11 @@
 use policy::{Ending, Expected, Refusal};
 use turns::{Place, Refused, Target};
 
+use crate::adapter::{Adapter, CallerProtocol};
 use crate::answer::{Answer, Error};
 use crate::attempt::{self, Start, Trouble, Whole};
 use crate::intake::{self, Job};
-use crate::site::{Callers, Site};
-use crate::state::{Held, State};
+use crate::state::{OpenRequest, State};
 use crate::stream::{self, Passing};
 
 /// A server that has begun nothing after so many times the target is given up for another, where
@@ -24,7 +24,7 @@
 
 /// Answers one request. A node that isn't ready ends each connection with its answer, so that
 /// callers who keep theirs open move to other nodes as well.
-pub(crate) async fn handle<S: Site>(state: Rc<State<S>>, request: Request) -> Answer {
+pub(crate) async fn handle<A: Adapter>(state: Rc<State<A>>, request: Request) -> Answer {
     let mut answer = take(state.clone(), request).await;
     if !state.ready() {
         answer.head_mut().set_connection_type(ConnectionType::Close);
@@ -32,20 +32,20 @@
     answer
 }
 
-async fn take<S: Site>(state: Rc<State<S>>, request: Request) -> Answer {
-    let arrived = state.moment();
-    let call = state.site.callers.read(request.head());
+async fn take<A: Adapter>(state: Rc<State<A>>, request: Request) -> Answer {
+    let arrived = state.timestamp();
+    let call = state.adapter.callers.parse(request.head());
     let name = call.as_ref().map_or("", |call| call.id.as_str()).to_string();
     let path = request.path().to_string();
-    let mut held = state.hold(&name);
+    let mut held = state.open_request(&name);
     let job = match intake::take(&state, request, call, arrived, &mut held).await {
         Ok(job) => job,
         Err(error) => {
             state.metrics.refusal(error.word());
-            let revision = state.book.borrow().as_ref().map(|book| book.revision);
+            let revision = state.settings.borrow().as_ref().map(|book| book.revision);
             log::info!(
                 request = name.as_str(), path = path.as_str(), outcome = error.word(),
-                cause:% = error, revision = revision, age_ms = state.age_ms(); "not taken in"
+                cause:% = error, revision = revision, age_ms = state.proof_age_ms(); "not taken in"
             );
             return error.answer();
         }
@@ -78,12 +78,12 @@
 }
 
 /// Where a request is on its way, between attempts.
-pub(crate) struct Course<S: Site> {
-    pub(crate) state: Rc<State<S>>,
+pub(crate) struct Course<A: Adapter> {
+    pub(crate) state: Rc<State<A>>,
     pub(crate) job: Job,
     pub(crate) place: Place,
     #[allow(dead_code, reason = "counts the request until its answer ends")]
-    held: Held<S>,
+    held: OpenRequest<A>,
     /// The server that it was sent to last.
     pub(crate) server: Option<Rc<Entry>>,
     /// When it was sent last.
@@ -95,7 +95,7 @@
     failure: Option<Whole>,
 }
 
-async fn serve<S: Site>(state: Rc<State<S>>, job: Job, held: Held<S>) -> Answer {
+async fn serve<A: Adapter>(state: Rc<State<A>>, job: Job, held: OpenRequest<A>) -> Answer {
     let mut waiting = Waiting::Fresh(life::Request::new(ids::Request::new()).admit().queue());
     let place = Place::new(&state.turns, job.request.clone());
     let sent = state.clock.now();
@@ -119,11 +119,11 @@
             Err(refused) => return course.refuse(waiting, refused),
         };
         let sending = waiting.send();
-        let trouble = match course.attempt(sending.attempt(), &server, course.job.call.after).await
-        {
-            Ok(start) => return course.pass(sending, start),
-            Err(trouble) => trouble,
-        };
+        let trouble =
+            match course.attempt(sending.attempt(), &server, course.job.call.last_event_id).await {
+                Ok(start) => return course.pass(sending, start),
+                Err(trouble) => trouble,
+            };
         course.note(sending.attempt(), &server, &trouble);
         let again = course.place.end(trouble.ending());
         let late = matches!(trouble, Trouble::Late);
@@ -141,7 +141,7 @@
     }
 }
 
-impl<S: Site> Course<S> {
+impl<A: Adapter> Course<A> {
     /// Waits for the request's turn; returns the server that it may be sent to.
     pub(crate) async fn turn(&mut self) -> Result<Rc<Entry>, Refused> {
         loop {
@@ -155,11 +155,11 @@
                 self.place.end(Ending::Cancelled);
                 return Err(refused);
             }
-            let server = self.state.names.borrow().server(key).cloned();
+            let server = self.state.registry.borrow().server(key).cloned();
             match server {
                 Some(server) => {
                     self.server = Some(server.clone());
-                    self.pace.sent = Some(self.state.since(self.job.arrived));
+                    self.pace.sent = Some(self.state.elapsed_since(self.job.arrived));
                     self.pace.sends += 1;
                     self.sent = self.state.clock.now();
                     self.pace.expected = self.place.expected();
@@ -185,7 +185,7 @@
         let silent = self.job.route().target * SILENT;
         let within = if early { left.min(silent) } else { left };
         let fetch = self.pace.expected.and_then(|expected| expected.fetch);
-        let fetch = fetch.and_then(|key| self.state.names.borrow().server(key).cloned());
+        let fetch = fetch.and_then(|key| self.state.registry.borrow().server(key).cloned());
         let asking = attempt::ask(&self.state, &self.job, server, after, fetch);
         tokio::time::timeout(within, asking).await.unwrap_or(Err(Trouble::Late))
     }
@@ -217,7 +217,7 @@
     pub(crate) fn ended(&self, outcome: &str, status: u16) {
         let job = &self.job;
         let route = job.route().name.as_str();
-        let time = self.state.since(job.arrived);
+        let time = self.state.elapsed_since(job.arrived);
         let server = self.server.as_ref().map_or("", |server| &server.name);
         self.over.set(true);
         self.state.metrics.outcome(route, outcome);
@@ -236,9 +236,9 @@
             overdue_ms = expected.map(|expected| millis(expected.overdue)),
             fetched = expected.map(|expected| expected.fetch.is_some()),
             prompt = job.request.prompt_tokens, tokens = tokens,
-            most_tokens = job.request.max_tokens, guess = job.call.prompt.guess, target_ms = millis(route_terms.target),
+            most_tokens = job.request.max_tokens, guess = job.call.prompt.length_hint, target_ms = millis(route_terms.target),
             bears_ms = route_terms.pause.map(millis), limit_ms = millis(job.limit),
-            revision = job.revision, age_ms = self.state.age_ms(); "ended"
+            revision = job.revision, age_ms = self.state.proof_age_ms(); "ended"
         );
     }
 
@@ -285,7 +285,7 @@
         self.ended(outcome, whole.status.as_u16());
         self.state.crashes.completed(self.job.content);
         let workspace = self.job.found.workspace.as_ref().map_or("", |workspace| &workspace.name);
-        let time = self.state.since(self.job.arrived);
+        let time = self.state.elapsed_since(self.job.arrived);
         self.state.metrics.answered(&self.job.route().name, workspace, time);
         let mut response = Response::new(whole.status);
         *response.headers_mut() = whole.headers;
@@ -316,7 +316,7 @@
 }
 
 /// A request whose caller went away is dropped wherever it stands.
-impl<S: Site> Drop for Course<S> {
+impl<A: Adapter> Drop for Course<A> {
     fn drop(&mut self) {
         if !self.over.get() {
             self.ended(GONE, 0);
--- a/components/forward/src/state.rs
+++ b/components/forward/src/state.rs
@@ -1,4 +1,4 @@
-//! What the tasks of a forwarding node share.
+//! State shared by the tasks of a node, and how new settings and servers are applied to it.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -15,155 +15,159 @@
 use turns::{Crashes, Turns};
 use wire::updates::Work;
 
+use crate::adapter::{Adapter, Protocols};
 use crate::crossing::Crossing;
 use crate::gossip::Gossip;
 use crate::limits::{self, Limits};
-use crate::mechanism::{Mechanism as Own, Without};
-use crate::names::Names;
+use crate::mechanism::{Disabled, Mechanism as Own};
 use crate::node::Node;
+use crate::registry::Registry;
 use crate::replica::Replica;
-use crate::site::{Dialects, Site};
 use crate::source::{Callers, Sources};
 use crate::updates::{self, Received};
 
-/// Idle connections kept to one server. Servers take a limited number from all nodes together.
-const KEPT: usize = 24;
-/// Time that an idle connection is kept to a server that doesn't say for how long it does.
-const IDLE: Duration = Duration::from_millis(800);
+/// Idle connections kept to one server. Servers accept a limited number from all nodes together.
+const MAX_IDLE_CONNECTIONS: usize = 24;
+/// Time that an idle connection is kept if the server doesn't state its own limit.
+const IDLE_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// When something happened, by the clock of the runtime and by one that counts suspension.
+/// A point in time, by the runtime's clock and by one that also counts while the VM is suspended.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Moment {
+pub(crate) struct Timestamp {
     pub(crate) at: Instant,
     awake: Duration,
 }
 
-/// Repeats that a node may make at once at one service, over what its fresh requests have earned.
-/// What all nodes make together is bounded by their fresh requests and by this for each node, also
-/// for one that has just started anew; no node needs to know how many others there are.
-const BURST: u32 = 2;
-/// Bytes a second that a node may send to another region: as many as it likes. A site doesn't say how
-/// wide the link is, and a budget that is too small keeps requests from the only server that is left
-/// for them; what crosses is bounded by its price in the choice of servers.
-const LINK: u64 = 1 << 40;
-
-/// The limits that bound the decisions of a node.
-fn limits(node: &Node) -> policy::Limits {
+/// Retries that a node may send at once to one service, beyond those that its first attempts have
+/// earned. The retries of all nodes together are bounded by their first attempts and by this burst
+/// per node, also right after a node's restart; no node needs to know how many others there are.
+const RETRY_BURST: u32 = 2;
+/// Bytes per second that a node may send to another region: practically unlimited. The platform doesn't
+/// state the link's bandwidth, and a budget that is too small would keep requests from the only
+/// server left for them. Traffic between regions is bounded by its cost in the choice of servers.
+const REGION_LINK_BYTES: u64 = 1 << 40;
+
+/// The scheduler's limits for a node.
+fn scheduler_limits(node: &Node) -> policy::Limits {
     let retry_percent = (node.promises.repeats * 100.0).floor() as u32;
-    policy::Limits { retry_percent, retry_burst: BURST, link_bytes: LINK }
+    policy::Limits { retry_percent, retry_burst: RETRY_BURST, link_bytes: REGION_LINK_BYTES }
 }
 
 /// Shared state of one node.
-pub(crate) struct State<S: Site> {
+pub(crate) struct State<A: Adapter> {
     node: RefCell<Rc<Node>>,
-    /// Mechanisms that this node leaves out, as its settings said at its start.
-    pub(crate) without: Without,
+    /// Mechanisms that the node's settings disabled when it started.
+    pub(crate) disabled: Disabled,
     pub(crate) clock: clock::Runtime,
-    pub(crate) site: Dialects<S>,
+    pub(crate) adapter: Protocols<A>,
     pub(crate) turns: Rc<Turns>,
-    /// Requests that servers crashed under.
+    /// Requests during which servers crashed.
     pub(crate) crashes: Rc<Crashes>,
-    pub(crate) names: RefCell<Names>,
-    pub(crate) book: RefCell<Option<Rc<Book>>>,
+    pub(crate) registry: RefCell<Registry>,
+    /// The settings in force; none before the first were read.
+    pub(crate) settings: RefCell<Option<Rc<Book>>>,
     pub(crate) freshness: RefCell<Freshness>,
     pub(crate) roster: RefCell<Roster>,
-    /// The newest revision can't be used, so what is held isn't the newest.
-    pub(crate) unusable: Cell<bool>,
-    /// Reads of the store that failed since one succeeded.
-    pub(crate) failures: Cell<u32>,
-    /// The last answer came from a peer.
-    pub(crate) by_peer: Cell<bool>,
-    /// A peer has lost the store, and nobody answered since.
-    pub(crate) seeds_lost: Cell<bool>,
-    /// Settings and servers were read once.
+    /// The newest revision of the settings is invalid, so an older one is in force.
+    pub(crate) newest_invalid: Cell<bool>,
+    /// Consecutive failed reads of the store or of a peer in its place.
+    pub(crate) store_failures: Cell<u32>,
+    /// The last answer came from a peer and not from the store.
+    pub(crate) from_peer: Cell<bool>,
+    /// A peer reported that it can't reach the store, and no source has answered since.
+    pub(crate) seeds_lost_store: Cell<bool>,
+    /// Settings and servers were read at least once.
     pub(crate) loaded: Cell<bool>,
     pub(crate) region: ids::Region,
     pub(crate) pool: Pool,
     pub(crate) metrics: Metrics,
     pub(crate) draining: Cell<bool>,
-    /// What the store holds, as far as known.
+    /// Copy of the store's items.
     pub(crate) replica: RefCell<Replica>,
-    /// The store forgot its history, so all has to be read anew.
-    pub(crate) forgotten: Cell<bool>,
-    /// Something was learned that peers wait for.
-    pub(crate) told: Notify,
-    pub(crate) peers: awc::Client,
-    /// Nodes that asked this one for what is published.
-    pub(crate) callers: Callers,
-    /// Nodes of the fleet, as far as known.
+    /// The store no longer has the history after the replica's position, so all items must be listed
+    /// again.
+    pub(crate) history_lost: Cell<bool>,
+    /// Notified when the replica, its proof of freshness or the number of failures changes.
+    pub(crate) updated: Notify,
+    pub(crate) peer_client: awc::Client,
+    /// Nodes that ask this one for settings and servers.
+    pub(crate) followers: Callers,
+    /// Number of nodes in the fleet, as last reported; at least 1.
     pub(crate) fleet_nodes: Cell<u32>,
-    /// Work that other nodes told this one of.
-    pub(crate) received: Received,
-    /// Work that other seeds heard of.
-    pub(crate) seeds_received: Received,
-    /// What nodes report to each other of engines.
+    /// Work that other nodes reported to this one.
+    pub(crate) node_work: Received,
+    /// Work that the other seeds reported for themselves and their nodes.
+    pub(crate) seed_work: Received,
+    /// Exchange of engine loads between nodes.
     pub(crate) gossip: Gossip,
     pub(crate) crossing: Crossing,
-    /// Rate limits that servers have named.
-    pub(crate) limits: Limits,
+    /// Rate limits that servers have stated.
+    pub(crate) rate_limits: Limits,
     /// Limits of the callers' listener.
-    pub(crate) intake: watch::Sender<listen::Limits>,
-    /// Bytes of bodies that are held.
-    pub(crate) bytes: Cell<usize>,
-    held: RefCell<Slab<String>>,
-    ended: Notify,
+    pub(crate) listener_limits: watch::Sender<listen::Limits>,
+    /// Bytes of the bodies of open requests.
+    pub(crate) body_bytes: Cell<usize>,
+    /// Ids of the open requests.
+    open_requests: RefCell<Slab<String>>,
+    /// Notified when an open request ends.
+    request_ended: Notify,
 }
 
-impl<S: Site> State<S> {
-    pub(crate) fn new(node: Node, site: Dialects<S>) -> Rc<Self> {
+impl<A: Adapter> State<A> {
+    pub(crate) fn new(node: Node, adapter: Protocols<A>) -> Rc<Self> {
         let clock = clock::Runtime::new();
         let seed = xxhash_rust::xxh3::xxh3_64(node.name.as_bytes());
         let mut scheduler = Scheduler::with_seed(seed)
             .without(Mechanism::Fit)
             .without(Mechanism::EarlyRefusal)
             .without(Mechanism::Stopping);
-        scheduler.set_limits(limits(&node));
-        let without = node.left_out();
-        for mechanism in &without.decisions {
+        scheduler.set_limits(scheduler_limits(&node));
+        let disabled = node.disabled_mechanisms();
+        for mechanism in &disabled.policy {
             scheduler = scheduler.without(*mechanism);
         }
-        let mut names = Names::default();
-        let region = names.region(node.region());
-        let intake = listen::Limits {
+        let mut registry = Registry::default();
+        let region = registry.region(node.region());
+        let listener_limits = listen::Limits {
             connections: (node.room.descriptors / 2) as usize,
             ..listen::Limits::default()
         };
-        let gossip = Gossip::new(rand::random(), node.room.link_bytes());
+        let gossip = Gossip::new(rand::random(), node.room.link_bytes_per_second());
         Rc::new(State {
-            freshness: RefCell::new(Freshness::new(node.proof())),
+            freshness: RefCell::new(Freshness::new(node.max_proof_age())),
             node: RefCell::new(Rc::new(node)),
-            without,
+            disabled,
             clock,
-            site,
+            adapter,
             turns: Turns::new(scheduler, clock),
             crashes: Crashes::new(seed, clock),
-            names: RefCell::new(names),
-            book: RefCell::default(),
+            registry: RefCell::new(registry),
+            settings: RefCell::default(),
             roster: RefCell::default(),
-            unusable: Cell::new(false),
-            failures: Cell::new(0),
-            by_peer: Cell::new(false),
-            seeds_lost: Cell::new(false),
+            newest_invalid: Cell::new(false),
+            store_failures: Cell::new(0),
+            from_peer: Cell::new(false),
+            seeds_lost_store: Cell::new(false),
             loaded: Cell::new(false),
             region,
-            pool: Pool::new(Kept { most: KEPT, idle: IDLE }),
+            pool: Pool::new(Kept { most: MAX_IDLE_CONNECTIONS, idle: IDLE_TIMEOUT }),
             metrics: Metrics::new(),
             draining: Cell::new(false),
             replica: RefCell::default(),
-            forgotten: Cell::new(false),
-            told: Notify::new(),
-            peers: updates::client(),
-            callers: Callers::default(),
+            history_lost: Cell::new(false),
+            updated: Notify::new(),
+            peer_client: updates::client(),
+            followers: Callers::default(),
             fleet_nodes: Cell::new(1),
-            received: Received::default(),
-            seeds_received: Received::default(),
+            node_work: Received::default(),
+            seed_work: Received::default(),
             gossip,
             crossing: Crossing::new(clock.now()),
-            limits: Limits::default(),
-            intake: watch::channel(intake).0,
-            bytes: Cell::new(0),
-            held: RefCell::default(),
-            ended: Notify::new(),
+            rate_limits: Limits::default(),
+            listener_limits: watch::channel(listener_limits).0,
+            body_bytes: Cell::new(0),
+            open_requests: RefCell::default(),
+            request_ended: Notify::new(),
         })
     }
 
@@ -172,18 +176,18 @@
         self.node.borrow().clone()
     }
 
-    /// Puts the node's own settings, read again, in force; where it listens stays as it is.
+    /// Applies the node's own settings after they were read again, except for its addresses.
     pub(crate) fn reload(&self, node: Node) {
-        self.freshness.borrow_mut().set_bound(node.proof());
+        self.freshness.borrow_mut().set_bound(node.max_proof_age());
         *self.node.borrow_mut() = Rc::new(node);
         let all = self.roster.borrow().iter().map(|entry| entry.name.clone()).collect();
-        self.changed(all);
+        self.apply_servers(all);
     }
 
-    /// Whom this node asks for what is published.
+    /// The sources that this node asks for settings and servers.
     pub(crate) fn sources(&self) -> Sources {
         let node = self.node();
-        let seeds = if self.without.has(Own::Seeds) { &node.seeds[..] } else { &[] };
+        let seeds = if self.disabled.is_enabled(Own::Seeds) { &node.seeds[..] } else { &[] };
         Sources::new(&node.name, node.peers, seeds, self.clock.now())
     }
 
@@ -199,15 +203,15 @@
         crate::source::nearest(&node.name, node.peers, &node.seeds)
     }
 
-    /// The other seeds, if this node is one.
-    pub(crate) fn exchanged(&self) -> Vec<SocketAddr> {
+    /// The other seeds if this node is a seed; otherwise none.
+    pub(crate) fn other_seeds(&self) -> Vec<SocketAddr> {
         let node = self.node();
         let seed = self.is_seed();
         let others = node.seeds.iter().filter(|other| seed && **other != node.peers);
         others.copied().collect()
     }
 
-    /// Work of this node at engines of late.
+    /// Recent work of this node at engines.
     pub(crate) fn own_work(&self) -> Work {
         let [strict, steady, bulk] = self.turns.scheduler.borrow().engaged_of_late();
         let millis = |seconds: f64| (seconds * 1_000.0) as u32;
@@ -216,16 +220,16 @@
         Work { nodes: 1, strict_ms, steady_ms, bulk_ms, kib_per_s }
     }
 
-    /// Work of all nodes that this one heard of.
+    /// Work of this node and of all nodes whose reports it has received.
     pub(crate) fn fleet_work(&self) -> Work {
         let now = self.clock.now();
-        self.own_work().plus(self.received.sum(now)).plus(self.seeds_received.sum(now))
+        self.own_work().plus(self.node_work.sum(now)).plus(self.seed_work.sum(now))
     }
 
-    /// Work of all nodes, as it is known where this node asks.
-    pub(crate) fn set_fleet(&self, work: Work) {
+    /// Applies the work of all nodes, as summed by this node or the peer that it asks.
+    pub(crate) fn set_fleet_work(&self, work: Work) {
         self.fleet_nodes.set(work.nodes.max(1));
-        let bounded = self.without.has(Own::Crossing);
+        let bounded = self.disabled.is_enabled(Own::RegionalAffinity);
         let crosses = !bounded || self.crossing.allowed(work.kib_per_s);
         self.turns.scheduler.borrow_mut().set_crossing(crosses);
         if work.nodes > 1 {
@@ -235,90 +239,92 @@
         }
     }
 
-    /// Whether callers had better come here: it knows what is in force, and that it is the newest.
+    /// Whether callers should use this node: it has settings, and no read has failed since they were
+    /// proved to be the newest.
     ///
-    /// A node that the store turns away knows enough for a few seconds more. It says at once that it
-    /// isn't ready, so that the balancer has moved its callers to others by the time at which it has
-    /// to refuse them; where the store is away for all nodes, the balancer goes on using all.
+    /// A node that the store rejects can serve for a few seconds more on its last proof. It reports at
+    /// once that it isn't ready, so that the load balancer has moved its callers to other nodes before
+    /// it must refuse them. If the store is down for all nodes, the balancer keeps using all of them.
     pub(crate) fn ready(&self) -> bool {
-        let known = self.loaded.get() && self.book.borrow().is_some();
-        let lost = self.failures.get() > 0 || !self.fresh();
+        let known = self.loaded.get() && self.settings.borrow().is_some();
+        let lost = self.store_failures.get() > 0 || !self.is_fresh();
         known && !lost && !self.draining.get()
     }
 
-    /// Whether what is held may be believed to be the newest.
-    pub(crate) fn fresh(&self) -> bool {
+    /// Whether the proof that the settings are the newest is young enough to accept keys.
+    pub(crate) fn is_fresh(&self) -> bool {
         self.freshness.borrow().holds(self.clock.awake())
     }
 
-    /// Age of the proof that what is held is the newest, in ms.
-    pub(crate) fn age_ms(&self) -> Option<u64> {
+    /// Age of the proof that the settings are the newest, in ms; none without a proof.
+    pub(crate) fn proof_age_ms(&self) -> Option<u64> {
         let age = self.freshness.borrow().age(self.clock.awake())?;
         Some(age.as_millis() as u64)
     }
 
-    pub(crate) fn moment(&self) -> Moment {
-        Moment { at: self.clock.now(), awake: self.clock.awake() }
+    /// The current time.
+    pub(crate) fn timestamp(&self) -> Timestamp {
+        Timestamp { at: self.clock.now(), awake: self.clock.awake() }
     }
 
-    /// Time since a moment, that of a suspension included.
-    pub(crate) fn since(&self, moment: Moment) -> Duration {
-        self.clock.awake().saturating_sub(moment.awake)
+    /// Time elapsed since a timestamp, including any suspension of the VM.
+    pub(crate) fn elapsed_since(&self, timestamp: Timestamp) -> Duration {
+        self.clock.awake().saturating_sub(timestamp.awake)
     }
 
-    /// Requests that were received and haven't been answered to the end.
-    pub(crate) fn held(&self) -> usize {
-        self.held.borrow().len()
+    /// Number of requests that were received and not yet answered to the end.
+    pub(crate) fn open_requests(&self) -> usize {
+        self.open_requests.borrow().len()
     }
 
-    /// Their names.
-    pub(crate) fn held_ids(&self) -> Vec<String> {
-        self.held.borrow().iter().map(|(_, id)| id.clone()).collect()
+    /// Ids of the open requests.
+    pub(crate) fn open_request_ids(&self) -> Vec<String> {
+        self.open_requests.borrow().iter().map(|(_, id)| id.clone()).collect()
     }
 
-    /// Ends once no request is held.
-    pub(crate) async fn idle(&self) {
-        while self.held() > 0 {
-            self.ended.notified().await;
+    /// Returns once no request is open.
+    pub(crate) async fn wait_until_idle(&self) {
+        while self.open_requests() > 0 {
+            self.request_ended.notified().await;
         }
     }
 
-    /// Counts a request as held for as long as the token lives.
-    pub(crate) fn hold(self: &Rc<Self>, id: &str) -> Held<S> {
-        let key = self.held.borrow_mut().insert(id.to_string());
-        Held { state: self.clone(), key, bytes: 0 }
+    /// Counts a request as open until the returned guard is dropped.
+    pub(crate) fn open_request(self: &Rc<Self>, id: &str) -> OpenRequest<A> {
+        let key = self.open_requests.borrow_mut().insert(id.to_string());
+        OpenRequest { state: self.clone(), key, bytes: 0 }
     }
 
-    /// Puts a revision in force; one that isn't newer changes nothing.
-    pub(crate) fn accept(&self, book: Book) {
-        let last = self.book.borrow().as_ref().map(|last| last.revision);
-        if last.is_some_and(|last| last >= book.revision) {
+    /// Puts a revision of the settings in force if it is newer than the current one.
+    pub(crate) fn apply_settings(&self, settings: Book) {
+        let last = self.settings.borrow().as_ref().map(|last| last.revision);
+        if last.is_some_and(|last| last >= settings.revision) {
             return;
         }
-        self.unusable.set(false);
-        self.names.borrow_mut().apply(&mut self.turns.scheduler.borrow_mut(), &book);
-        self.intake.send_modify(|limits| {
-            limits.head_time = book.intake.head_time;
-            // Callers use connections that were idle for nearly as long as this allows.
-            limits.keep_alive = book.intake.idle;
+        self.newest_invalid.set(false);
+        self.registry.borrow_mut().apply(&mut self.turns.scheduler.borrow_mut(), &settings);
+        self.listener_limits.send_modify(|limits| {
+            limits.head_time = settings.intake.head_time;
+            // Callers reuse connections that were idle for nearly as long as this allows.
+            limits.keep_alive = settings.intake.idle;
         });
         log::info!(
-            revision = book.revision, last = last, routes = book.routes().count();
+            revision = settings.revision, last = last, routes = settings.routes().count();
             "settings in force"
         );
         self.metrics.settings.event("accepted");
-        self.metrics.settings.revision(book.revision);
-        *self.book.borrow_mut() = Some(Rc::new(book));
+        self.metrics.settings.revision(settings.revision);
+        *self.settings.borrow_mut() = Some(Rc::new(settings));
         self.turns.pump();
     }
 
-    /// Tells the decisions of servers that changed.
-    pub(crate) fn changed(&self, servers: Vec<String>) {
+    /// Updates the scheduler after these servers were listed, changed or removed.
+    pub(crate) fn apply_servers(&self, servers: Vec<String>) {
         if servers.is_empty() {
             return;
         }
         let roster = self.roster.borrow();
-        let mut names = self.names.borrow_mut();
+        let mut registry = self.registry.borrow_mut();
         let mut scheduler = self.turns.scheduler.borrow_mut();
         for name in servers {
             match roster.get(&name) {
@@ -328,40 +334,40 @@
                         address = entry.address.as_str(), leaving = entry.leaving;
                         "server listed"
                     );
-                    names.set_server(&mut scheduler, entry, &self.node().domains);
+                    registry.set_server(&mut scheduler, entry, &self.node().domains);
                 }
                 None => {
                     log::info!(server = name.as_str(); "server gone");
-                    names.remove_server(&mut scheduler, &name);
-                    self.limits.throttle.borrow_mut().forget(wire::key(&name));
+                    registry.remove_server(&mut scheduler, &name);
+                    self.rate_limits.throttle.borrow_mut().forget(wire::key(&name));
                 }
             }
         }
-        drop((roster, names, scheduler));
+        drop((roster, registry, scheduler));
         limits::apply(self);
         self.turns.pump();
     }
 }
 
-/// Counts one request as held.
-pub(crate) struct Held<S: Site> {
-    state: Rc<State<S>>,
+/// Guard that counts one request as open while it lives.
+pub(crate) struct OpenRequest<A: Adapter> {
+    state: Rc<State<A>>,
     key: usize,
     bytes: usize,
 }
 
-impl<S: Site> Held<S> {
-    /// Counts the bytes of its body as held too.
-    pub(crate) fn weigh(&mut self, bytes: usize) {
+impl<A: Adapter> OpenRequest<A> {
+    /// Adds bytes of its body to [`State::body_bytes`] until it is dropped.
+    pub(crate) fn add_body_bytes(&mut self, bytes: usize) {
         self.bytes += bytes;
-        self.state.bytes.set(self.state.bytes.get() + bytes);
+        self.state.body_bytes.set(self.state.body_bytes.get() + bytes);
     }
 }
 
-impl<S: Site> Drop for Held<S> {
+impl<A: Adapter> Drop for OpenRequest<A> {
     fn drop(&mut self) {
-        self.state.held.borrow_mut().remove(self.key);
-        self.state.bytes.set(self.state.bytes.get() - self.bytes);
-        self.state.ended.notify_waiters();
+        self.state.open_requests.borrow_mut().remove(self.key);
+        self.state.body_bytes.set(self.state.body_bytes.get() - self.bytes);
+        self.state.request_ended.notify_waiters();
     }
 }
--- a/components/forward/src/stream.rs
+++ b/components/forward/src/stream.rs
@@ -11,10 +11,10 @@
 use life::Streaming;
 use policy::Ending;
 
+use crate::adapter::Adapter;
 use crate::attempt::{Part, Source, Start, Trouble};
 use crate::mechanism::Mechanism;
 use crate::serve::Course;
-use crate::site::Site;
 
 /// Time for the last events to reach the socket before the connection is cut under them.
 const FLUSH: Duration = Duration::from_millis(50);
@@ -25,8 +25,8 @@
 const LEAST: Duration = Duration::from_secs(1);
 
 /// An answer under way from a server to a caller.
-pub(crate) struct Passing<S: Site> {
-    course: Course<S>,
+pub(crate) struct Passing<A: Adapter> {
+    course: Course<A>,
     life: Option<life::Request<Streaming>>,
     source: Option<Box<Source>>,
     last: Option<Instant>,
@@ -35,9 +35,9 @@
     broken: bool,
 }
 
-impl<S: Site> Passing<S> {
+impl<A: Adapter> Passing<A> {
     pub(crate) fn new(
-        course: Course<S>,
+        course: Course<A>,
         life: life::Request<Streaming>,
         source: Box<Source>,
     ) -> Self {
@@ -79,7 +79,7 @@
     fn passed(&mut self, part: Part) -> Bytes {
         let Course { state, job, place, pace, server, .. } = &mut self.course;
         if part.events > 0 {
-            let book = state.book.borrow();
+            let book = state.settings.borrow();
             let services = book.as_ref().map(|book| &book.services);
             let service = server.as_ref().map(|server| &server.service);
             let service = services.zip(service).and_then(|(all, name)| all.get(name));
@@ -131,13 +131,13 @@
         let mut trouble = trouble;
         // The server before must not go on while another one does.
         let last = self.source.take().and_then(|source| source.last());
-        let last = last.max(self.course.job.call.after);
+        let last = last.max(self.course.job.call.last_event_id);
         loop {
             if let Some(server) = self.course.server.clone() {
                 self.course.note(life.attempt(), &server, &trouble);
             }
             let ending = trouble.ending();
-            let resumes = self.course.state.without.has(Mechanism::Resumption);
+            let resumes = self.course.state.disabled.is_enabled(Mechanism::StreamResumption);
             let sound = resumes && !matches!(trouble, Trouble::Disorder(_));
             let Some(proof) = self.course.job.repeatable().filter(|_| sound) else {
                 self.course.place.end(ending);
@@ -165,7 +165,7 @@
     }
 }
 
-impl<S: Site> Drop for Passing<S> {
+impl<A: Adapter> Drop for Passing<A> {
     fn drop(&mut self) {
         if self.tokens > 0 {
             let route = &self.course.job.route().name;
@@ -180,7 +180,7 @@
 }
 
 /// The body of the answer.
-pub(crate) fn body<S: Site>(passing: Passing<S>) -> BoxBody {
+pub(crate) fn body<A: Adapter>(passing: Passing<A>) -> BoxBody {
     let parts = stream::unfold(passing, |mut passing| async move {
         let bytes = passing.next().await?;
         Some((bytes, passing))
--- a/components/forward/src/updates.rs
+++ b/components/forward/src/updates.rs
@@ -12,9 +12,9 @@
 use clock::Clock;
 use wire::updates::{Update, UpdateRequest, Work};
 
+use crate::adapter::{Adapter, StoreError};
 use crate::answer::Answer;
 use crate::gossip;
-use crate::site::{Site, StoreError};
 use crate::state::State;
 
 /// Path of the question for updates on the peers' listener.
@@ -68,8 +68,8 @@
 }
 
 /// Asks a peer for what changed after a position.
-pub(crate) async fn ask<S: Site>(
-    state: &State<S>,
+pub(crate) async fn ask<A: Adapter>(
+    state: &State<A>,
     peer: SocketAddr,
     wait: Duration,
 ) -> Result<Update, StoreError> {
@@ -80,14 +80,15 @@
         wait_ms: wait.as_millis() as u32,
         work: state.own_work(),
     };
-    let down = |cause: &dyn std::fmt::Display| StoreError::Down(format!("peer {peer}: {cause}"));
+    let down =
+        |cause: &dyn std::fmt::Display| StoreError::Unavailable(format!("peer {peer}: {cause}"));
     let call = async {
-        let request = state.peers.post(format!("http://{peer}{UPDATES}"));
+        let request = state.peer_client.post(format!("http://{peer}{UPDATES}"));
         let mut response = request.send_body(ask.encode()).await.map_err(|cause| match cause {
             SendRequestError::Connect(ConnectError::Io(cause))
                 if cause.kind() == io::ErrorKind::ConnectionRefused =>
             {
-                StoreError::Refused(peer)
+                StoreError::ConnectionRefused(peer)
             }
             cause => down(&cause),
         })?;
@@ -103,16 +104,16 @@
 }
 
 /// Tells a seed of the work that this one heard of itself.
-pub(crate) async fn tell<S: Site>(state: &State<S>, seed: SocketAddr) -> Result<(), StoreError> {
-    let work = state.own_work().plus(state.received.sum(state.clock.now()));
+pub(crate) async fn tell<A: Adapter>(state: &State<A>, seed: SocketAddr) -> Result<(), StoreError> {
+    let work = state.own_work().plus(state.node_work.sum(state.clock.now()));
     let ask = UpdateRequest { from: state.node().name.clone(), work, ..UpdateRequest::default() };
-    let request = state.peers.post(format!("http://{seed}{WORK}")).timeout(OVERDUE);
+    let request = state.peer_client.post(format!("http://{seed}{WORK}")).timeout(OVERDUE);
     let sent = request.send_body(ask.encode()).await;
-    sent.map(|_| ()).map_err(|cause| StoreError::Down(format!("seed {seed}: {cause}")))
+    sent.map(|_| ()).map_err(|cause| StoreError::Unavailable(format!("seed {seed}: {cause}")))
 }
 
 /// Answers a call of a peer.
-pub(crate) async fn handle<S: Site>(state: Rc<State<S>>, mut request: Request) -> Answer {
+pub(crate) async fn handle<A: Adapter>(state: Rc<State<A>>, mut request: Request) -> Answer {
     let status = |status| Response::new(status).map_into_boxed_body();
     let path = request.path().to_string();
     if request.method() == Method::POST && [gossip::NODES, gossip::SEEDS].contains(&path.as_str()) {
@@ -129,25 +130,25 @@
     let Ok(ask) = UpdateRequest::decode(&body) else { return status(StatusCode::BAD_REQUEST) };
     let now = state.clock.now();
     if path == WORK {
-        state.seeds_received.note(&ask.from, ask.work, now);
+        state.seed_work.note(&ask.from, ask.work, now);
         return status(StatusCode::OK);
     }
     match ask.address {
-        Some(address) if state.is_seed() => state.callers.note(address),
-        _ => state.callers.delegated(now),
+        Some(address) if state.is_seed() => state.followers.note(address),
+        _ => state.followers.delegated(now),
     }
     if !loaded(&state, Duration::from_millis(ask.wait_ms.into())).await {
         return status(StatusCode::SERVICE_UNAVAILABLE);
     }
-    state.received.note(&ask.from, ask.work, now);
+    state.node_work.note(&ask.from, ask.work, now);
     tell_updates(&state, &ask).await
 }
 
 /// Whether settings and servers are known, at once or within a time.
-async fn loaded<S: Site>(state: &State<S>, within: Duration) -> bool {
+async fn loaded<A: Adapter>(state: &State<A>, within: Duration) -> bool {
     let known = async {
         while !state.loaded.get() {
-            state.told.notified().await;
+            state.updated.notified().await;
         }
     };
     tokio::time::timeout(within, known).await.is_ok()
@@ -155,17 +156,17 @@
 
 /// Ends once something was learned. A seed asks its delegate when it has lost the store itself, so what
 /// it waits for is that the delegate has read it.
-async fn learned<S: Site>(state: &State<S>) {
+async fn learned<A: Adapter>(state: &State<A>) {
     loop {
-        state.told.notified().await;
-        if state.is_seed() || state.failures.get() == 0 {
+        state.updated.notified().await;
+        if state.is_seed() || state.store_failures.get() == 0 {
             return;
         }
     }
 }
 
 /// Answers once there is an update, or a younger proof that there is none.
-async fn tell_updates<S: Site>(state: &State<S>, ask: &UpdateRequest) -> Answer {
+async fn tell_updates<A: Adapter>(state: &State<A>, ask: &UpdateRequest) -> Answer {
     let asked = state.clock.awake();
     let update = || state.replica.borrow().at() > ask.position;
     if ask.position.is_some() && !update() {
@@ -185,9 +186,9 @@
         base,
         unknown: items.is_none(),
         items: items.unwrap_or_default(),
-        age_ms: state.age_ms().map(|age| age.try_into().unwrap_or(u32::MAX)),
+        age_ms: state.proof_age_ms().map(|age| age.try_into().unwrap_or(u32::MAX)),
         held_ms: state.clock.awake().saturating_sub(asked).as_millis() as u32,
-        lost: state.failures.get() > 0,
+        lost: state.store_failures.get() > 0,
         returned_ms: state.roster.borrow().returned(now).map(|ago| ago.as_millis() as u32),
         work: state.fleet_work(),
     };
--- a/src/bin/godwitleverd.rs
+++ b/src/bin/godwitleverd.rs
@@ -6,7 +6,7 @@
 
 use anyhow::Context;
 use clap::Parser;
-use forward::Forward;
+use forward::Proxy;
 use platform::Platform;
 use router::Router;
 use serde::Deserialize;
@@ -104,7 +104,7 @@
 /// A running node: at the router's own interface, or at a site that an adapter speaks for.
 enum Running {
     Own(Router),
-    Adapted(Forward<Platform>),
+    Adapted(Proxy<Platform>),
 }
 
 impl Running {
@@ -123,14 +123,14 @@
     async fn adapted(text: &str, origin: &str) -> anyhow::Result<Self> {
         let node = forward::Node::parse(text, origin)?;
         telemetry::start(telemetry::Form::Json, log::LevelFilter::Info)?;
-        let dialects = platform::dialects(node.store);
+        let protocols = platform::protocols(node.store);
         let name = node.name.clone();
-        let forward = Forward::start(node, dialects).await?;
-        let (callers, operators) = (forward.callers(), forward.operators());
+        let proxy = Proxy::start(node, protocols).await?;
+        let (callers, operators) = (proxy.caller_address(), proxy.operator_address());
         log::info!(
             node = name.as_str(), callers:% = callers, operators:% = operators; "listening"
         );
-        Ok(Running::Adapted(forward))
+        Ok(Running::Adapted(proxy))
     }
 
     fn reload(&self, text: &str, origin: &str) -> anyhow::Result<()> {
@@ -139,7 +139,7 @@
                 Node::parse(text, origin)?;
                 log::warn!("the node's own settings changed; restart the node to use them");
             }
-            Running::Adapted(forward) => forward.reload(forward::Node::parse(text, origin)?),
+            Running::Adapted(proxy) => proxy.reload(forward::Node::parse(text, origin)?),
         }
         Ok(())
     }
@@ -147,7 +147,7 @@
     fn held(&self) -> usize {
         match self {
             Running::Own(router) => router.held(),
-            Running::Adapted(forward) => forward.held(),
+            Running::Adapted(proxy) => proxy.open_requests(),
         }
     }
 
@@ -155,7 +155,7 @@
     async fn drain(&self) -> usize {
         match self {
             Running::Own(router) => router.drain().await.len(),
-            Running::Adapted(forward) => forward.drain().await.len(),
+            Running::Adapted(proxy) => proxy.drain().await.len(),
         }
     }
 
@@ -163,7 +163,7 @@
     fn cut(&self) -> usize {
         match self {
             Running::Own(router) => router.cut().len(),
-            Running::Adapted(forward) => forward.cut().len(),
+            Running::Adapted(proxy) => proxy.abort().len(),
         }
     }
 }
