--- a/components/forward/src/follow.rs
+++ b/components/forward/src/follow.rs
@@ -6,8 +6,8 @@
 use clock::Clock;
 use rand::Rng;
 
+use crate::adapter::{Adapter, Item, Record, Store, StoreError, Versioned, WatchReply};
 use crate::mechanism::Mechanism;
-use crate::site::{Event, Item, Reading, Site, Store, StoreError, Watched};
 use crate::source::{Context, Failure, Source};
 use crate::state::State;
 use crate::{proof, updates};
@@ -37,15 +37,15 @@
 const MAX_PAUSE: Duration = Duration::from_millis(500);
 
 /// Starts the tasks; they end with the node.
-pub(crate) fn start<S: Site>(state: &Rc<State<S>>) {
+pub(crate) fn start<A: Adapter>(state: &Rc<State<A>>) {
     actix_rt::spawn(follow_sources(Rc::downgrade(state)));
-    for seed in state.exchanged() {
+    for seed in state.other_seeds() {
         actix_rt::spawn(exchange_work(Rc::downgrade(state), seed));
     }
 }
 
 /// Asks one source after the other for as long as the node runs.
-async fn follow_sources<S: Site>(weak: Weak<State<S>>) {
+async fn follow_sources<A: Adapter>(weak: Weak<State<A>>) {
     let Some(mut sources) = weak.upgrade().map(|state| state.sources()) else { return };
     let mut failed_rounds = 0;
     loop {
@@ -70,7 +70,7 @@
                 failed_rounds = 0;
                 tokio::time::sleep(pause).await;
             }
-            Err(StoreError::Long(bytes)) => {
+            Err(StoreError::ListTooLong(bytes)) => {
                 log::info!(bytes = bytes; "the list of servers is long; asking seeds for it");
                 sources.record_long_list();
             }
@@ -78,7 +78,7 @@
                 if !sources.is_probing_first() {
                     record_failure(&state, source, &cause);
                 }
-                sources.set_delegate(state.callers.pick_candidate());
+                sources.set_delegate(state.followers.pick_candidate());
                 if sources.record_failure(classify_failure(&cause), context, state.clock.now()) {
                     failed_rounds += 1;
                     let pause = if sources.is_starting() {
@@ -96,7 +96,10 @@
 
 /// Runs a step, and meanwhile drops missing servers as soon as their time to be listed again is over: a watch
 /// may wait for longer than a server that has left may go on getting work.
-async fn expire_servers_during<S: Site, T>(state: &State<S>, step: impl Future<Output = T>) -> T {
+async fn expire_servers_during<A: Adapter, T>(
+    state: &State<A>,
+    step: impl Future<Output = T>,
+) -> T {
     let mut step = std::pin::pin!(step);
     loop {
         let left = state.roster.borrow().left(state.clock.now());
@@ -109,42 +112,42 @@
 }
 
 /// Drops missing servers whose time to be listed again is over.
-fn expire_servers<S: Site>(state: &State<S>) {
+fn expire_servers<A: Adapter>(state: &State<A>) {
     let gone = state.roster.borrow_mut().expire(state.clock.now());
-    state.changed(gone);
+    state.apply_servers(gone);
 }
 
 /// Keeps missing servers for a while when this node turns to the store because its seeds have lost contact with
 /// it. The node can't tell whether the store was down, in which case their entries may only have expired.
-fn doubt_missing_servers<S: Site>(state: &State<S>) {
-    let unobserved = state.seeds_lost.get() && state.by_peer.get();
-    if unobserved && state.without.has(Mechanism::Doubt) {
+fn doubt_missing_servers<A: Adapter>(state: &State<A>) {
+    let unobserved = state.seeds_lost_store.get() && state.from_peer.get();
+    if unobserved && state.disabled.is_enabled(Mechanism::OutageGrace) {
         state.roster.borrow_mut().away();
     }
 }
 
-fn record_answer<S: Site>(state: &State<S>, source: Source) {
-    state.by_peer.set(source != Source::Store);
-    state.seeds_lost.set(false);
-    let failures = state.failures.take();
+fn record_answer<A: Adapter>(state: &State<A>, source: Source) {
+    state.from_peer.set(source != Source::Store);
+    state.seeds_lost_store.set(false);
+    let failures = state.store_failures.take();
     if failures > 0 {
         log::info!(failures = failures; "store answers again");
     }
 }
 
-fn record_failure<S: Site>(state: &State<S>, source: Source, cause: &StoreError) {
-    if source == Source::Store && state.without.has(Mechanism::Doubt) {
+fn record_failure<A: Adapter>(state: &State<A>, source: Source, cause: &StoreError) {
+    if source == Source::Store && state.disabled.is_enabled(Mechanism::OutageGrace) {
         state.roster.borrow_mut().away();
     }
-    if matches!(cause, StoreError::Lost(_)) {
-        state.seeds_lost.set(true);
+    if matches!(cause, StoreError::LostByPeer(_)) {
+        state.seeds_lost_store.set(true);
     }
-    let failures = state.failures.get() + 1;
-    state.failures.set(failures);
-    state.told.notify_waiters();
+    let failures = state.store_failures.get() + 1;
+    state.store_failures.set(failures);
+    state.updated.notify_waiters();
     state.metrics.settings.event("unread");
     if failures.is_power_of_two() {
-        log::warn!(cause:% = cause, failures = failures, age_ms = state.age_ms(); "store lost");
+        log::warn!(cause:% = cause, failures = failures, age_ms = state.proof_age_ms(); "store lost");
     }
 }
 
@@ -157,52 +160,52 @@
     pause.mul_f64(rand::rng().random_range(0.5..1.0))
 }
 
-fn source_context<S: Site>(state: &State<S>) -> Context {
-    let is_delegate = state.callers.is_delegate(state.clock.now());
+fn source_context<A: Adapter>(state: &State<A>) -> Context {
+    let is_delegate = state.followers.is_delegate(state.clock.now());
     Context { is_delegate, fleet_nodes: state.fleet_nodes.get() }
 }
 
 fn classify_failure(cause: &StoreError) -> Failure {
     match cause {
-        StoreError::Refused(_) => Failure::Refused,
-        StoreError::Lost(_) => Failure::StoreLost,
+        StoreError::ConnectionRefused(_) => Failure::Refused,
+        StoreError::LostByPeer(_) => Failure::StoreLost,
         _ => Failure::Down,
     }
 }
 
 /// Asks the store: reads everything if this node has nothing yet, unless the list of servers is longer than
 /// `list_limit` bytes; else watches for changes. Returns the pause before the next call.
-async fn ask_store<S: Site>(
-    state: &Rc<State<S>>,
+async fn ask_store<A: Adapter>(
+    state: &Rc<State<A>>,
     list_limit: Option<usize>,
 ) -> Result<Duration, StoreError> {
     let asked = state.clock.awake();
-    let position = state.replica.borrow().position().filter(|_| !state.forgotten.take());
+    let position = state.replica.borrow().position().filter(|_| !state.history_lost.take());
     let Some(after) = position else {
-        let Reading { value, at } = state.site.store.read(list_limit).await?;
+        let Versioned { value, position } = state.adapter.store.list(list_limit).await?;
         state.roster.borrow_mut().answered(state.clock.now());
-        let updates = state.replica.borrow_mut().replace(value, at);
+        let updates = state.replica.borrow_mut().replace(value, position);
         apply_items(state, updates);
         confirm_freshness(state, asked);
         state.loaded.set(true);
         return Ok(Duration::ZERO);
     };
-    let wait = if state.failures.get() > 0 { PROBE_WAIT } else { WAIT };
-    let Reading { value, at } = match state.site.store.watch(after, wait).await? {
-        Watched::Changes(reading) => reading,
-        Watched::Forgotten => {
+    let wait = if state.store_failures.get() > 0 { PROBE_WAIT } else { WAIT };
+    let Versioned { value, position } = match state.adapter.store.watch(after, wait).await? {
+        WatchReply::Changes(changes) => changes,
+        WatchReply::HistoryLost => {
             log::info!(
                 after = after;
                 "the store no longer has its history after this position; reading everything again"
             );
-            state.forgotten.set(true);
+            state.history_lost.set(true);
             return Ok(Duration::ZERO);
         }
     };
     state.roster.borrow_mut().answered(state.clock.now());
     let waited = state.clock.awake().saturating_sub(asked);
     let has_changes = !value.is_empty();
-    let updates = state.replica.borrow_mut().apply(value, at);
+    let updates = state.replica.borrow_mut().apply(value, position);
     apply_items(state, updates);
     let quiet = !has_changes && waited >= WAIT;
     confirm_freshness(state, if quiet { proof::from_quiet_watch(asked, WAIT) } else { asked });
@@ -211,8 +214,8 @@
 
 /// Asks a peer for changes; returns the pause before the next call. The age of the peer's proof is counted
 /// from when the answer was made, which is no earlier than the question plus the time for which the peer held it.
-async fn ask_peer<S: Site>(
-    state: &Rc<State<S>>,
+async fn ask_peer<A: Adapter>(
+    state: &Rc<State<A>>,
     peer: std::net::SocketAddr,
 ) -> Result<Duration, StoreError> {
     let asked = state.clock.awake();
@@ -220,28 +223,28 @@
         None => FIRST_WAIT,
         // A delegate may have to read the store first.
         Some(_) if state.is_seed() && !state.node().seeds.contains(&peer) => FIRST_WAIT,
-        Some(_) if state.failures.get() > 0 => PROBE_WAIT,
+        Some(_) if state.store_failures.get() > 0 => PROBE_WAIT,
         Some(_) => WAIT,
     };
     let update = updates::request_update(state, peer, wait).await?;
     let now = state.clock.now();
     if update.lost {
         // Only this peer may be cut off from the store; the next source shows whether others are as well.
-        return Err(StoreError::Lost(peer));
+        return Err(StoreError::LostByPeer(peer));
     }
     if update.unknown {
-        return Err(StoreError::Down(format!(
+        return Err(StoreError::Unavailable(format!(
             "peer {peer} no longer knows all changes after this node's position"
         )));
     }
     match update.returned_ms.map(|ago| Duration::from_millis(ago.into())) {
-        Some(ago) if state.without.has(Mechanism::Doubt) => {
+        Some(ago) if state.disabled.is_enabled(Mechanism::OutageGrace) => {
             state.roster.borrow_mut().doubt(now.checked_sub(ago).unwrap_or(now));
         }
         _ => state.roster.borrow_mut().answered(now),
     }
-    state.set_fleet(update.work);
-    let garbled = |cause: wire::Error| StoreError::Garbled(cause.to_string());
+    state.set_fleet_work(update.work);
+    let garbled = |cause: wire::Error| StoreError::Malformed(cause.to_string());
     let changes = update.items.unpack().map_err(garbled)?;
     if let Some(base) = update.base {
         let all = base.items.unpack().map_err(garbled)?;
@@ -252,7 +255,7 @@
     apply_items(state, items);
     state.loaded.set(true);
     let Some(age) = update.age_ms.map(|age| Duration::from_millis(age.into())) else {
-        return Err(StoreError::Down(format!(
+        return Err(StoreError::Unavailable(format!(
             "peer {peer} has no proof that its settings are the newest"
         )));
     };
@@ -265,35 +268,35 @@
             peer:% = peer, age_ms = age.as_millis() as u64;
             "the peer's proof is too old; it has lost contact with the store"
         );
-        return Err(StoreError::Lost(peer));
+        return Err(StoreError::LostByPeer(peer));
     }
     Ok(Duration::ZERO)
 }
 
 /// Records that the settings of this node were the newest at a time, unless the newest revision can't be used.
-fn confirm_freshness<S: Site>(state: &State<S>, at: Duration) {
-    if !state.unusable.get() {
+fn confirm_freshness<A: Adapter>(state: &State<A>, at: Duration) {
+    if !state.newest_invalid.get() {
         state.freshness.borrow_mut().confirm(at);
     }
-    state.told.notify_waiters();
+    state.updated.notify_waiters();
 }
 
 /// Puts changed settings and servers into force.
-fn apply_items<S: Site>(state: &State<S>, items: Vec<Item>) {
+fn apply_items<A: Adapter>(state: &State<A>, items: Vec<Item>) {
     for item in items {
-        match state.site.store.decode(&item) {
-            Some(Event::Settings(book)) => state.accept(book),
-            Some(Event::Unusable(cause)) => {
+        match state.adapter.store.decode(&item) {
+            Some(Record::Settings(book)) => state.apply_settings(book),
+            Some(Record::InvalidSettings(cause)) => {
                 log::error!(
                     cause = cause.as_str();
                     "a revision of the settings can't be used; the last usable one stays in force"
                 );
                 state.metrics.settings.event("refused");
-                state.unusable.set(true);
+                state.newest_invalid.set(true);
             }
-            Some(Event::Server(change)) => {
+            Some(Record::Server(change)) => {
                 let changed = state.roster.borrow_mut().apply(change, state.clock.now());
-                state.changed(changed);
+                state.apply_servers(changed);
             }
             None => {}
         }
@@ -302,12 +305,12 @@
 
 /// Reports to another seed the work that nodes have reported to this one, again and again. A failed report is
 /// only logged: the next one replaces it.
-async fn exchange_work<S: Site>(weak: Weak<State<S>>, seed: std::net::SocketAddr) {
+async fn exchange_work<A: Adapter>(weak: Weak<State<A>>, seed: std::net::SocketAddr) {
     while let Some(state) = weak.upgrade() {
         if let Err(cause) = updates::report_work(&state, seed).await {
             log::debug!(cause:% = cause; "failed to report work to a seed");
         }
-        state.set_fleet(state.fleet_work());
+        state.set_fleet_work(state.fleet_work());
         drop(state);
         tokio::time::sleep(WORK_INTERVAL).await;
     }
--- a/components/forward/src/gossip.rs
+++ b/components/forward/src/gossip.rs
@@ -18,8 +18,8 @@
 use policy::{Backlog, Cached};
 use wire::gossip::{Load, Position, Report, Summary};
 
+use crate::adapter::Adapter;
 use crate::answer::Answer;
-use crate::site::Site;
 use crate::state::State;
 
 mod cursor;
@@ -76,9 +76,9 @@
 }
 
 /// Starts the tasks; they end with the node.
-pub(crate) fn start<S: Site>(state: &Rc<State<S>>) {
+pub(crate) fn start<A: Adapter>(state: &Rc<State<A>>) {
     if state.is_seed() {
-        for seed in state.exchanged() {
+        for seed in state.other_seeds() {
             actix_rt::spawn(poll_seed(Rc::downgrade(state), seed));
         }
         actix_rt::spawn(run_seed(Rc::downgrade(state)));
@@ -88,7 +88,7 @@
 }
 
 /// Reports to a seed again and again and applies its answers; changes to another seed if one doesn't answer.
-async fn run_node<S: Site>(weak: Weak<State<S>>) {
+async fn run_node<A: Adapter>(weak: Weak<State<A>>) {
     let Some(mut seeds) = weak.upgrade().map(|state| Seeds::new(state.seeds())) else { return };
     let (mut view, mut sent, mut last) = (View::default(), SentReports::default(), None);
     let (mut suspect_cursor, mut limit_cursor) = (Cursor::default(), Cursor::default());
@@ -117,7 +117,7 @@
                 apply_cached_parts(&state, &summary.parts);
                 suspects::apply_summary(&state, &mut suspect_cursor, &summary);
                 limits::apply_summary(&state, &mut limit_cursor, &summary);
-                state.limits.record_seed_answer(now);
+                state.rate_limits.record_seed_answer(now);
                 view.apply(summary, now);
                 let (loads, sends) = sent.subtract_own(&view, now);
                 apply_peer_loads(&state, &loads, &sends);
@@ -135,7 +135,7 @@
 }
 
 /// Sums again and again what nodes report and other seeds know, and hands the sums to this seed's own scheduler.
-async fn run_seed<S: Site>(weak: Weak<State<S>>) {
+async fn run_seed<A: Adapter>(weak: Weak<State<A>>) {
     let (mut view, mut sent) = (View::default(), SentReports::default());
     while let Some(state) = weak.upgrade() {
         let now = state.clock.now();
@@ -156,7 +156,7 @@
 }
 
 /// Asks another seed again and again for what changed in its cluster.
-async fn poll_seed<S: Site>(weak: Weak<State<S>>, seed: SocketAddr) {
+async fn poll_seed<A: Adapter>(weak: Weak<State<A>>, seed: SocketAddr) {
     let (name, mut suspect_cursor, mut limit_cursor) =
         (seed.to_string(), Cursor::default(), Cursor::default());
     while let Some(state) = weak.upgrade() {
@@ -182,13 +182,13 @@
 }
 
 /// Sends a report to a seed; returns its answer, or the cause of the failure as a text.
-async fn post_report<S: Site>(
-    state: &State<S>,
+async fn post_report<A: Adapter>(
+    state: &State<A>,
     seed: SocketAddr,
     path: &str,
     report: Report,
 ) -> Result<Summary, String> {
-    let request = state.peers.post(format!("http://{seed}{path}")).timeout(ANSWER_TIMEOUT);
+    let request = state.peer_client.post(format!("http://{seed}{path}")).timeout(ANSWER_TIMEOUT);
     let sent = request.send_body(report.encode()).await;
     let mut response = sent.map_err(|cause| cause.to_string())?;
     let body = response.body().limit(MAX_SUMMARY_BYTES).await.map_err(|cause| cause.to_string())?;
@@ -199,7 +199,7 @@
 }
 
 /// Answers the report of a node or another seed.
-pub(crate) async fn handle<S: Site>(state: &Rc<State<S>>, mut request: Request) -> Answer {
+pub(crate) async fn handle<A: Adapter>(state: &Rc<State<A>>, mut request: Request) -> Answer {
     let from_seed = request.path() == SEED_PATH;
     let body = match listen::whole(&mut request, MAX_REPORT_BYTES).await {
         Ok(body) => body,
@@ -237,18 +237,19 @@
 
 /// Issues permits to one of this seed's nodes. Each seed issues an equal part of a limit, so that all seeds
 /// together keep to it even while they can't reach each other.
-fn issue_permits<S: Site>(state: &State<S>) -> Vec<(u32, u32)> {
+fn issue_permits<A: Adapter>(state: &State<A>) -> Vec<(u32, u32)> {
     let issuers = state.node().seeds.len().max(1) as f64;
     let nodes = state.gossip.aggregate.borrow().node_count();
-    state.limits.issue(issuers, nodes, state.clock.now())
+    state.rate_limits.issue(issuers, nodes, state.clock.now())
 }
 
 /// Sums all reports again. Nodes aren't sent the occupied slots of an engine below [`CROWDED_PART`], nor an
 /// engine at which there is nothing else to report.
-fn refresh_sums<S: Site>(state: &State<S>) {
-    let (names, scheduler) = (state.names.borrow(), state.turns.scheduler.borrow());
+fn refresh_sums<A: Adapter>(state: &State<A>) {
+    let (registry, scheduler) = (state.registry.borrow(), state.turns.scheduler.borrow());
     let to_report = |mut load: Load| {
-        let slots = names.keyed(load.server).and_then(|server| scheduler.slots(server));
+        let slots =
+            registry.server_by_wire_key(load.server).and_then(|server| scheduler.slots(server));
         let occupied: u32 = load.taken.iter().sum();
         if f64::from(occupied) < f64::from(slots.unwrap_or_default()) * CROWDED_PART {
             load.taken.clear();
@@ -262,8 +263,8 @@
 }
 
 /// This node's next report. `known` is its position in the seed's table.
-fn own_report<S: Site>(
-    state: &State<S>,
+fn own_report<A: Adapter>(
+    state: &State<A>,
     sent: &mut SentReports,
     known: Option<Position>,
 ) -> Report {
@@ -274,12 +275,12 @@
 }
 
 /// Load of this node's requests at engines.
-fn own_loads<S: Site>(state: &State<S>) -> Vec<Load> {
+fn own_loads<A: Adapter>(state: &State<A>) -> Vec<Load> {
     let backlogs = state.turns.scheduler.borrow().backlogs(state.clock.now());
-    let names = state.names.borrow();
+    let registry = state.registry.borrow();
     let load = |backlog: Backlog| {
         Some(Load {
-            server: wire::key(&names.server(backlog.server)?.name),
+            server: wire::key(&registry.server(backlog.server)?.name),
             reading_ms: to_whole_units(&backlog.prefill, MS_PER_S),
             overdue_ms: to_whole_units(&backlog.overdue, MS_PER_S),
             taken: to_whole_units(&backlog.occupied, 1.0),
@@ -292,7 +293,7 @@
 }
 
 /// Requests that this node sends to engines in ten seconds, by priority.
-fn own_sends<S: Site>(state: &State<S>) -> Vec<u32> {
+fn own_sends<A: Adapter>(state: &State<A>) -> Vec<u32> {
     to_whole_units(&state.turns.scheduler.borrow().send_rates(state.clock.now()), SENDS_SECONDS)
 }
 
@@ -308,28 +309,31 @@
 
 /// Parts of prompts that engines cache by this node's requests and that other nodes may not know of: the key of
 /// the engine's name, and the part.
-fn own_cached_parts<S: Site>(state: &State<S>) -> Vec<(u32, u64)> {
+fn own_cached_parts<A: Adapter>(state: &State<A>) -> Vec<(u32, u64)> {
     let updates = state.turns.scheduler.borrow_mut().cache_updates(state.clock.now());
-    let names = state.names.borrow();
-    let row = |cached: Cached| Some((wire::key(&names.server(cached.server)?.name), cached.part));
+    let registry = state.registry.borrow();
+    let row =
+        |cached: Cached| Some((wire::key(&registry.server(cached.server)?.name), cached.part));
     updates.into_iter().filter_map(row).collect()
 }
 
 /// Hands the parts that other nodes report as cached to the scheduler.
-fn apply_cached_parts<S: Site>(state: &State<S>, parts: &[(u32, u64)]) {
-    let names = state.names.borrow();
-    let cached = |row: &(u32, u64)| Some(Cached { server: names.keyed(row.0)?, part: row.1 });
+fn apply_cached_parts<A: Adapter>(state: &State<A>, parts: &[(u32, u64)]) {
+    let registry = state.registry.borrow();
+    let cached = |row: &(u32, u64)| {
+        Some(Cached { server: registry.server_by_wire_key(row.0)?, part: row.1 })
+    };
     let reported = parts.iter().filter_map(cached);
     state.turns.scheduler.borrow_mut().apply_cache_updates(reported, state.clock.now());
 }
 
 /// Hands the load of all other nodes at engines and their rates of requests to the scheduler.
-fn apply_peer_loads<S: Site>(state: &State<S>, loads: &[Load], sends: &[u32]) {
-    let names = state.names.borrow();
+fn apply_peer_loads<A: Adapter>(state: &State<A>, loads: &[Load], sends: &[u32]) {
+    let registry = state.registry.borrow();
     let seconds = |ms: &u32| f64::from(*ms) / MS_PER_S;
     let backlog = |load: &Load| {
         Some(Backlog {
-            server: names.keyed(load.server)?,
+            server: registry.server_by_wire_key(load.server)?,
             prefill: load.reading_ms.iter().map(seconds).collect(),
             overdue: load.overdue_ms.iter().map(seconds).collect(),
             occupied: load.taken.iter().map(|slots| f64::from(*slots)).collect(),
--- a/components/forward/src/gossip/limits.rs
+++ b/components/forward/src/gossip/limits.rs
@@ -7,27 +7,28 @@
 use wire::gossip::{Limit, Position, Report, Summary};
 
 use super::cursor::Cursor;
+use crate::adapter::Adapter;
 use crate::limits;
-use crate::site::Site;
 use crate::state::State;
 
 /// Time in seconds over which a limit is given on the wire: there it is a whole number of requests.
 const RATE_SECONDS: f64 = 1_000.0;
 
 /// Adds to a report the limits that the seed may not have, and the version up to which the node has the seed's.
-pub(super) fn add_to_report<S: Site>(
-    state: &State<S>,
+pub(super) fn add_to_report<A: Adapter>(
+    state: &State<A>,
     cursor: &mut Cursor,
     report: Report,
 ) -> Report {
-    let (limits, version) = state.limits.throttle.borrow().changes_since(cursor.acknowledged());
+    let (limits, version) =
+        state.rate_limits.throttle.borrow().changes_since(cursor.acknowledged());
     cursor.begin_report(version);
     let limits = to_wire(&limits, state.clock.now());
     Report { limits, limits_known: cursor.received(), ..report }
 }
 
 /// Applies the limits and permits in a seed's answer.
-pub(super) fn apply_summary<S: Site>(state: &State<S>, cursor: &mut Cursor, summary: &Summary) {
+pub(super) fn apply_summary<A: Adapter>(state: &State<A>, cursor: &mut Cursor, summary: &Summary) {
     if !state.loaded.get() {
         // Limits of servers that aren't listed are dropped, so the answer must be sent again once servers are
         // known.
@@ -35,16 +36,16 @@
     }
     let now = state.clock.now();
     cursor.record_answer(summary.at.boot, summary.limits_at);
-    let before = state.limits.throttle.borrow().version();
+    let before = state.rate_limits.throttle.borrow().version();
     limits::merge_reported(state, summary.limits.iter().filter_map(|limit| from_wire(limit, now)));
-    cursor.skip_learned(before, state.limits.throttle.borrow().version());
+    cursor.skip_learned(before, state.rate_limits.throttle.borrow().version());
     limits::add_permits(state, &summary.permits);
 }
 
 /// Merges the limits that a node or another seed reports, and adds to the answer those that it may not have.
 /// `permits` are for nodes only; a seed gets none.
-pub(super) fn add_to_summary<S: Site>(
-    state: &State<S>,
+pub(super) fn add_to_summary<A: Adapter>(
+    state: &State<A>,
     (reported, known): (&[Limit], u64),
     at: Option<Position>,
     summary: Summary,
@@ -53,7 +54,7 @@
     let now = state.clock.now();
     limits::merge_reported(state, reported.iter().filter_map(|limit| from_wire(limit, now)));
     let known = at.filter(|at| at.boot == summary.at.boot).map_or(0, |_| known);
-    let (limits, limits_at) = state.limits.throttle.borrow().changes_since(known);
+    let (limits, limits_at) = state.rate_limits.throttle.borrow().changes_since(known);
     Summary { limits: to_wire(&limits, now), limits_at, permits, ..summary }
 }
 
--- a/components/forward/src/gossip/suspects.rs
+++ b/components/forward/src/gossip/suspects.rs
@@ -11,15 +11,15 @@
 use wire::gossip::{self, Position, Report, Summary, Suspect};
 
 use super::cursor::Cursor;
-use crate::site::Site;
+use crate::adapter::Adapter;
 use crate::state::State;
 
 /// Number of crashes from which on a suspect is passed on to nodes.
 const NODE_THRESHOLD: usize = 2;
 
 /// Adds to a report the evidence that the seed may not have, and the version up to which the node has the seed's.
-pub(super) fn add_to_report<S: Site>(
-    state: &State<S>,
+pub(super) fn add_to_report<A: Adapter>(
+    state: &State<A>,
     cursor: &mut Cursor,
     report: Report,
 ) -> Report {
@@ -31,7 +31,7 @@
 }
 
 /// Merges the evidence in a seed's answer.
-pub(super) fn apply_summary<S: Site>(state: &State<S>, cursor: &mut Cursor, summary: &Summary) {
+pub(super) fn apply_summary<A: Adapter>(state: &State<A>, cursor: &mut Cursor, summary: &Summary) {
     cursor.record_answer(summary.at.boot, summary.suspects_at);
     let mut quarantine = state.crashes.quarantine.borrow_mut();
     let before = quarantine.version();
@@ -40,8 +40,8 @@
 }
 
 /// Merges the evidence that a node or another seed reports, and adds to the answer what it may not have.
-pub(super) fn add_to_summary<S: Site>(
-    state: &State<S>,
+pub(super) fn add_to_summary<A: Adapter>(
+    state: &State<A>,
     (suspects, known): (&[Suspect], u64),
     at: Option<Position>,
     from_seed: bool,
--- a/components/forward/src/limits.rs
+++ b/components/forward/src/limits.rs
@@ -9,8 +9,8 @@
 use clock::Clock;
 use policy::{Issuer, RateLimit, Throttle};
 
+use crate::adapter::{self, Adapter};
 use crate::mechanism::Mechanism;
-use crate::site::{Limit, Site};
 use crate::state::State;
 
 /// Time without an answer of a seed after which a node issues permits to itself.
@@ -44,18 +44,18 @@
 }
 
 /// Records the limit in the head of an answer to a request that was sent at `sent`.
-pub(crate) fn record_answer<S: Site>(
-    state: &State<S>,
+pub(crate) fn record_answer<A: Adapter>(
+    state: &State<A>,
     server: &Entry,
-    limit: &Limit,
+    limit: &adapter::RateLimit,
     sent: Instant,
 ) {
     let (key, now) = (wire::key(&server.name), state.clock.now());
-    let before = state.limits.throttle.borrow().rate(key);
+    let before = state.rate_limits.throttle.borrow().rate(key);
     let rate = match limit {
-        Limit::Unnamed => None,
-        Limit::Rate(rate) => Some(*rate),
-        Limit::Unreadable(text) => {
+        adapter::RateLimit::Unspecified => None,
+        adapter::RateLimit::PerSecond(rate) => Some(*rate),
+        adapter::RateLimit::Malformed(text) => {
             log::warn!(
                 server = server.name.as_str(), limit = text.as_str();
                 "ignoring a server's rate limit that can't be parsed"
@@ -63,8 +63,8 @@
             return;
         }
     };
-    state.limits.throttle.borrow_mut().record_response(key, rate, sent, now);
-    let after = state.limits.throttle.borrow().rate(key);
+    state.rate_limits.throttle.borrow_mut().record_response(key, rate, sent, now);
+    let after = state.rate_limits.throttle.borrow().rate(key);
     if before.is_some() != after.is_some() {
         log::info!(server = server.name.as_str(), rate_per_s = after; "server's rate limit");
         apply_to_scheduler(state);
@@ -72,56 +72,61 @@
 }
 
 /// Merges the limits that other nodes report. Servers that aren't listed are left out.
-pub(crate) fn merge_reported<S: Site>(state: &State<S>, limits: impl Iterator<Item = RateLimit>) {
-    let before = state.limits.throttle.borrow().version();
-    for limit in limits.filter(|limit| state.names.borrow().keyed(limit.server).is_some()) {
-        state.limits.throttle.borrow_mut().merge(limit);
+pub(crate) fn merge_reported<A: Adapter>(
+    state: &State<A>,
+    limits: impl Iterator<Item = RateLimit>,
+) {
+    let before = state.rate_limits.throttle.borrow().version();
+    for limit in
+        limits.filter(|limit| state.registry.borrow().server_by_wire_key(limit.server).is_some())
+    {
+        state.rate_limits.throttle.borrow_mut().merge(limit);
     }
-    if state.limits.throttle.borrow().version() > before {
+    if state.rate_limits.throttle.borrow().version() > before {
         apply_to_scheduler(state);
     }
 }
 
 /// Sets in the scheduler which servers have named a limit, and so need permits. Does nothing while gossip is
 /// disabled: without it no permits are issued, and the scheduler would never send these servers a request.
-pub(crate) fn apply_to_scheduler<S: Site>(state: &State<S>) {
-    if !state.without.has(Mechanism::Loads) {
+pub(crate) fn apply_to_scheduler<A: Adapter>(state: &State<A>) {
+    if !state.disabled.is_enabled(Mechanism::LoadGossip) {
         return;
     }
-    let names = state.names.borrow();
+    let registry = state.registry.borrow();
     let mut scheduler = state.turns.scheduler.borrow_mut();
-    for limit in state.limits.throttle.borrow().all() {
-        if let Some(server) = names.keyed(limit.server) {
+    for limit in state.rate_limits.throttle.borrow().all() {
+        if let Some(server) = registry.server_by_wire_key(limit.server) {
             scheduler.set_rate_limited(server, limit.rate.is_some());
         }
     }
 }
 
 /// Hands permits to the scheduler: the key of a server's name, and how many requests it may be sent.
-pub(crate) fn add_permits<S: Site>(state: &State<S>, permits: &[(u32, u32)]) {
+pub(crate) fn add_permits<A: Adapter>(state: &State<A>, permits: &[(u32, u32)]) {
     let now = state.clock.now();
-    let names = state.names.borrow();
+    let registry = state.registry.borrow();
     for (server, count) in permits {
-        if let Some(server) = names.keyed(*server) {
+        if let Some(server) = registry.server_by_wire_key(*server) {
             state.turns.scheduler.borrow_mut().add_permits(server, *count, now);
         }
     }
-    drop(names);
+    drop(registry);
     if !permits.is_empty() {
         state.turns.pump();
     }
 }
 
 /// Issues permits to this node itself if no seed has answered within [`SEED_TIMEOUT`].
-pub(crate) fn issue_without_seeds<S: Site>(state: &State<S>) {
+pub(crate) fn issue_without_seeds<A: Adapter>(state: &State<A>) {
     let now = state.clock.now();
-    if state.limits.seed_answered.get().is_some_and(|answered| now < answered + SEED_TIMEOUT) {
+    if state.rate_limits.seed_answered.get().is_some_and(|answered| now < answered + SEED_TIMEOUT) {
         return;
     }
     let nodes = match state.fleet_nodes.get() {
         0 | 1 if !state.node().seeds.is_empty() => UNKNOWN_FLEET_NODES,
         nodes => nodes.max(1),
     };
-    let permits = state.limits.issue(f64::from(nodes) / PART_WITHOUT_SEEDS, 1, now);
+    let permits = state.rate_limits.issue(f64::from(nodes) / PART_WITHOUT_SEEDS, 1, now);
     add_permits(state, &permits);
 }
--- a/components/forward/src/replica.rs
+++ b/components/forward/src/replica.rs
@@ -4,7 +4,7 @@
 
 use wire::updates::{Base, Items};
 
-use crate::site::Item;
+use crate::adapter::Item;
 
 /// Number of deletions that are remembered. A peer whose position is older than these can't be sent changes,
 /// and has to ask another source.
--- a/components/forward/src/updates.rs
+++ b/components/forward/src/updates.rs
@@ -12,9 +12,9 @@
 use clock::Clock;
 use wire::updates::{Update, UpdateRequest, Work};
 
+use crate::adapter::{Adapter, StoreError};
 use crate::answer::Answer;
 use crate::gossip;
-use crate::site::{Site, StoreError};
 use crate::state::State;
 
 /// Path on the listener for peers at which a node asks for updates.
@@ -68,8 +68,8 @@
 }
 
 /// Asks a peer for the changes after this node's position; the peer may wait up to `wait` for one.
-pub(crate) async fn request_update<S: Site>(
-    state: &State<S>,
+pub(crate) async fn request_update<A: Adapter>(
+    state: &State<A>,
     peer: SocketAddr,
     wait: Duration,
 ) -> Result<Update, StoreError> {
@@ -80,14 +80,15 @@
         wait_ms: wait.as_millis() as u32,
         work: state.own_work(),
     };
-    let down = |cause: &dyn std::fmt::Display| StoreError::Down(format!("peer {peer}: {cause}"));
+    let down =
+        |cause: &dyn std::fmt::Display| StoreError::Unavailable(format!("peer {peer}: {cause}"));
     let call = async {
-        let request = state.peers.post(format!("http://{peer}{UPDATES_PATH}"));
+        let request = state.peer_client.post(format!("http://{peer}{UPDATES_PATH}"));
         let mut response = request.send_body(ask.encode()).await.map_err(|cause| match cause {
             SendRequestError::Connect(ConnectError::Io(cause))
                 if cause.kind() == io::ErrorKind::ConnectionRefused =>
             {
-                StoreError::Refused(peer)
+                StoreError::ConnectionRefused(peer)
             }
             cause => down(&cause),
         })?;
@@ -103,19 +104,19 @@
 }
 
 /// Reports to another seed the work of this node and of the nodes that ask it.
-pub(crate) async fn report_work<S: Site>(
-    state: &State<S>,
+pub(crate) async fn report_work<A: Adapter>(
+    state: &State<A>,
     seed: SocketAddr,
 ) -> Result<(), StoreError> {
-    let work = state.own_work().plus(state.received.sum(state.clock.now()));
+    let work = state.own_work().plus(state.node_work.sum(state.clock.now()));
     let ask = UpdateRequest { from: state.node().name.clone(), work, ..UpdateRequest::default() };
-    let request = state.peers.post(format!("http://{seed}{WORK_PATH}")).timeout(ANSWER_GRACE);
+    let request = state.peer_client.post(format!("http://{seed}{WORK_PATH}")).timeout(ANSWER_GRACE);
     let sent = request.send_body(ask.encode()).await;
-    sent.map(|_| ()).map_err(|cause| StoreError::Down(format!("seed {seed}: {cause}")))
+    sent.map(|_| ()).map_err(|cause| StoreError::Unavailable(format!("seed {seed}: {cause}")))
 }
 
 /// Answers a request on the listener for peers.
-pub(crate) async fn handle<S: Site>(state: Rc<State<S>>, mut request: Request) -> Answer {
+pub(crate) async fn handle<A: Adapter>(state: Rc<State<A>>, mut request: Request) -> Answer {
     let status = |status| Response::new(status).map_into_boxed_body();
     let path = request.path().to_string();
     if request.method() == Method::POST
@@ -134,25 +135,25 @@
     let Ok(ask) = UpdateRequest::decode(&body) else { return status(StatusCode::BAD_REQUEST) };
     let now = state.clock.now();
     if path == WORK_PATH {
-        state.seeds_received.record(&ask.from, ask.work, now);
+        state.seed_work.record(&ask.from, ask.work, now);
         return status(StatusCode::OK);
     }
     match ask.address {
-        Some(address) if state.is_seed() => state.callers.add_candidate(address),
-        _ => state.callers.record_delegation(now),
+        Some(address) if state.is_seed() => state.followers.add_candidate(address),
+        _ => state.followers.record_delegation(now),
     }
     if !wait_until_loaded(&state, Duration::from_millis(ask.wait_ms.into())).await {
         return status(StatusCode::SERVICE_UNAVAILABLE);
     }
-    state.received.record(&ask.from, ask.work, now);
+    state.node_work.record(&ask.from, ask.work, now);
     answer_update(&state, &ask).await
 }
 
 /// Waits until settings and servers are known, at most for a time; returns whether they are.
-async fn wait_until_loaded<S: Site>(state: &State<S>, within: Duration) -> bool {
+async fn wait_until_loaded<A: Adapter>(state: &State<A>, within: Duration) -> bool {
     let loaded = async {
         while !state.loaded.get() {
-            state.told.notified().await;
+            state.updated.notified().await;
         }
     };
     tokio::time::timeout(within, loaded).await.is_ok()
@@ -161,17 +162,17 @@
 /// Waits until this node has received an update, a newer proof or a failure of its source. A delegate skips the
 /// failures: the seed asks because it has lost contact with the store itself, so it has no use for an answer
 /// before the delegate has read the store.
-async fn wait_for_update<S: Site>(state: &State<S>) {
+async fn wait_for_update<A: Adapter>(state: &State<A>) {
     loop {
-        state.told.notified().await;
-        if state.is_seed() || state.failures.get() == 0 {
+        state.updated.notified().await;
+        if state.is_seed() || state.store_failures.get() == 0 {
             return;
         }
     }
 }
 
 /// Answers once there is an update or a newer proof that there is none, or the wait is over.
-async fn answer_update<S: Site>(state: &State<S>, ask: &UpdateRequest) -> Answer {
+async fn answer_update<A: Adapter>(state: &State<A>, ask: &UpdateRequest) -> Answer {
     let asked = state.clock.awake();
     let has_update = || state.replica.borrow().position() > ask.position;
     if ask.position.is_some() && !has_update() {
@@ -191,9 +192,9 @@
         base,
         unknown: items.is_none(),
         items: items.unwrap_or_default(),
-        age_ms: state.age_ms().map(|age| age.try_into().unwrap_or(u32::MAX)),
+        age_ms: state.proof_age_ms().map(|age| age.try_into().unwrap_or(u32::MAX)),
         held_ms: state.clock.awake().saturating_sub(asked).as_millis() as u32,
-        lost: state.failures.get() > 0,
+        lost: state.store_failures.get() > 0,
         returned_ms: state.roster.borrow().returned(now).map(|ago| ago.as_millis() as u32),
         work: state.fleet_work(),
     };
