--- a/components/forward/src/gossip.rs
+++ b/components/forward/src/gossip.rs
@@ -268,10 +268,12 @@
     let load = |backlog: Backlog| {
         Some(Load {
             server: wire::key(&names.server(backlog.server)?.name),
-            reading_ms: by_rank(&backlog.reading, MILLIS),
+            reading_ms: by_rank(&backlog.prefill, MILLIS),
             overdue_ms: by_rank(&backlog.overdue, MILLIS),
-            taken: by_rank(&backlog.taken, 1.0),
-            begun_ms: backlog.begun.map(|age| age.as_millis().try_into().unwrap_or(u32::MAX)),
+            taken: by_rank(&backlog.occupied, 1.0),
+            begun_ms: backlog
+                .since_first_token
+                .map(|age| age.as_millis().try_into().unwrap_or(u32::MAX)),
         })
     };
     backlogs.into_iter().filter_map(load).collect()
@@ -279,7 +281,7 @@
 
 /// Requests that this node sends to engines in ten seconds, by rank.
 fn own_sends<A: Adapter>(state: &State<A>) -> Vec<u32> {
-    by_rank(&state.turns.scheduler.borrow().sends(state.clock.now()), RATE_SECONDS)
+    by_rank(&state.turns.scheduler.borrow().send_rates(state.clock.now()), RATE_SECONDS)
 }
 
 /// Amounts by rank in a smaller unit; ranks at the end that have none are left out.
@@ -292,7 +294,7 @@
 
 /// Parts of prompts that this node saw engines keep, that others haven't heard of.
 fn own_parts<A: Adapter>(state: &State<A>) -> Vec<(u32, u64)> {
-    let updates = state.turns.scheduler.borrow_mut().cached(state.clock.now());
+    let updates = state.turns.scheduler.borrow_mut().cache_updates(state.clock.now());
     let names = state.registry.borrow();
     let row = |cached: Cached| Some((wire::key(&names.server(cached.server)?.name), cached.part));
     updates.into_iter().filter_map(row).collect()
@@ -304,7 +306,7 @@
     let cached =
         |row: &(u32, u64)| Some(Cached { server: names.server_by_wire_key(row.0)?, part: row.1 });
     let reported = parts.iter().filter_map(cached);
-    state.turns.scheduler.borrow_mut().set_cached(reported, state.clock.now());
+    state.turns.scheduler.borrow_mut().apply_cache_updates(reported, state.clock.now());
 }
 
 /// Takes in what all other nodes' requests take of engines, and how many they send.
@@ -314,15 +316,15 @@
     let backlog = |load: &Load| {
         Some(Backlog {
             server: names.server_by_wire_key(load.server)?,
-            reading: load.reading_ms.iter().map(seconds).collect(),
+            prefill: load.reading_ms.iter().map(seconds).collect(),
             overdue: load.overdue_ms.iter().map(seconds).collect(),
-            taken: load.taken.iter().map(|places| f64::from(*places)).collect(),
-            begun: load.begun_ms.map(|ms| Duration::from_millis(ms.into())),
+            occupied: load.taken.iter().map(|places| f64::from(*places)).collect(),
+            since_first_token: load.begun_ms.map(|ms| Duration::from_millis(ms.into())),
         })
     };
     let backlogs: Vec<_> = loads.iter().filter_map(backlog).collect();
     let sends: Vec<_> = sends.iter().map(|sends| f64::from(*sends) / RATE_SECONDS).collect();
     let (mut scheduler, now) = (state.turns.scheduler.borrow_mut(), state.clock.now());
     scheduler.set_backlogs(&backlogs, now);
-    scheduler.set_sends(&sends, now);
+    scheduler.set_peer_send_rates(&sends, now);
 }
--- a/components/forward/src/limits.rs
+++ b/components/forward/src/limits.rs
@@ -7,9 +7,9 @@
 
 use catalog::Entry;
 use clock::Clock;
-use policy::{Issuer, Named, Throttle};
+use policy::{Issuer, RateLimit, Throttle};
 
-use crate::adapter::{Adapter, RateLimit};
+use crate::adapter::{Adapter, StatedLimit};
 use crate::mechanism::Mechanism;
 use crate::state::State;
 
@@ -46,20 +46,20 @@
 pub(crate) fn answered<A: Adapter>(
     state: &State<A>,
     server: &Entry,
-    limit: &RateLimit,
+    limit: &StatedLimit,
     sent: Instant,
 ) {
     let (key, now) = (wire::key(&server.name), state.clock.now());
     let before = state.rate_limits.throttle.borrow().rate(key);
     let rate = match limit {
-        RateLimit::Unspecified => None,
-        RateLimit::PerSecond(rate) => Some(*rate),
-        RateLimit::Malformed(text) => {
+        StatedLimit::Unspecified => None,
+        StatedLimit::PerSecond(rate) => Some(*rate),
+        StatedLimit::Malformed(text) => {
             log::warn!(server = server.name.as_str(), limit = text.as_str(); "a rate limit can't be read");
             return;
         }
     };
-    state.rate_limits.throttle.borrow_mut().answered(key, rate, sent, now);
+    state.rate_limits.throttle.borrow_mut().record_response(key, rate, sent, now);
     let after = state.rate_limits.throttle.borrow().rate(key);
     if before.is_some() != after.is_some() {
         log::info!(server = server.name.as_str(), rate_per_s = after; "server's rate limit");
@@ -68,12 +68,12 @@
 }
 
 /// Takes in what other nodes know of servers that are listed.
-pub(crate) fn learn<A: Adapter>(state: &State<A>, named: impl Iterator<Item = Named>) {
+pub(crate) fn learn<A: Adapter>(state: &State<A>, named: impl Iterator<Item = RateLimit>) {
     let before = state.rate_limits.throttle.borrow().version();
     for named in
         named.filter(|named| state.registry.borrow().server_by_wire_key(named.server).is_some())
     {
-        state.rate_limits.throttle.borrow_mut().learn(named);
+        state.rate_limits.throttle.borrow_mut().merge(named);
     }
     if state.rate_limits.throttle.borrow().version() > before {
         apply(state);
@@ -90,7 +90,7 @@
     let mut scheduler = state.turns.scheduler.borrow_mut();
     for named in state.rate_limits.throttle.borrow().all() {
         if let Some(server) = names.server_by_wire_key(named.server) {
-            scheduler.set_limited(server, named.rate.is_some());
+            scheduler.set_rate_limited(server, named.rate.is_some());
         }
     }
 }
@@ -101,7 +101,7 @@
     let names = state.registry.borrow();
     for (server, count) in permits {
         if let Some(server) = names.server_by_wire_key(*server) {
-            state.turns.scheduler.borrow_mut().permit(server, *count, now);
+            state.turns.scheduler.borrow_mut().add_permits(server, *count, now);
         }
     }
     drop(names);
--- a/components/forward/src/operators.rs
+++ b/components/forward/src/operators.rs
@@ -31,15 +31,15 @@
     let scheduler = state.turns.scheduler.borrow();
     let names = state.registry.borrow();
     let servers = names.servers().map(|(key, entry)| {
-        let belief = scheduler.belief(key, now);
+        let status = scheduler.status(key, now);
         serde_json::json!({
             "name": entry.name,
             "service": entry.service,
             "domain": entry.domain,
             "address": entry.address,
             "leaving": entry.leaving,
-            "sent": belief.as_ref().map(|belief| belief.sent),
-            "unused": belief.and_then(|belief| belief.unused).map(|unused| unused.as_str()),
+            "sent": status.as_ref().map(|status| status.sent),
+            "unused": status.and_then(|status| status.unused).map(|unused| unused.as_str()),
         })
     });
     serde_json::json!({
@@ -49,7 +49,7 @@
         "revision": state.settings.borrow().as_ref().map(|book| book.revision),
         "age_ms": state.proof_age_ms(),
         "held": state.open_requests(),
-        "quarantined": state.crashes.quarantine.borrow().count(now),
+        "quarantined": state.crashes.quarantine.borrow().blocked_count(now),
         "without": state.node().disabled,
         "waiting": scheduler.waiting(),
         "servers": servers.collect::<Vec<_>>(),
--- a/components/forward/src/state.rs
+++ b/components/forward/src/state.rs
@@ -118,13 +118,13 @@
         let clock = clock::Runtime::new();
         let seed = xxhash_rust::xxh3::xxh3_64(node.name.as_bytes());
         let mut scheduler = Scheduler::with_seed(seed)
-            .without(Mechanism::Fit)
-            .without(Mechanism::EarlyRefusal)
-            .without(Mechanism::Stopping);
+            .with_disabled(Mechanism::DeadlineFit)
+            .with_disabled(Mechanism::EarlyRefusal)
+            .with_disabled(Mechanism::Preemption);
         scheduler.set_limits(scheduler_limits(&node));
         let disabled = node.disabled_mechanisms();
         for mechanism in &disabled.policy {
-            scheduler = scheduler.without(*mechanism);
+            scheduler = scheduler.with_disabled(*mechanism);
         }
         let mut registry = Registry::default();
         let region = registry.region(node.region());
@@ -213,7 +213,7 @@
 
     /// Recent work of this node at engines.
     pub(crate) fn own_work(&self) -> Work {
-        let [strict, steady, bulk] = self.turns.scheduler.borrow().engaged_of_late();
+        let [strict, steady, bulk] = self.turns.scheduler.borrow().recent_engine_seconds();
         let millis = |seconds: f64| (seconds * 1_000.0) as u32;
         let kib_per_s = self.crossing.kib_per_s(self.clock.now());
         let (strict_ms, steady_ms, bulk_ms) = (millis(strict), millis(steady), millis(bulk));
@@ -231,11 +231,11 @@
         self.fleet_nodes.set(work.nodes.max(1));
         let bounded = self.disabled.is_enabled(Own::RegionalAffinity);
         let crosses = !bounded || self.crossing.allowed(work.kib_per_s);
-        self.turns.scheduler.borrow_mut().set_crossing(crosses);
+        self.turns.scheduler.borrow_mut().set_cross_region(crosses);
         if work.nodes > 1 {
             let groups = [work.strict_ms, work.steady_ms, work.bulk_ms];
             let seconds = groups.map(|millis| f64::from(millis) / 1_000.0);
-            self.turns.scheduler.borrow_mut().set_fleet(seconds, self.clock.now());
+            self.turns.scheduler.borrow_mut().set_fleet_engine_seconds(seconds, self.clock.now());
         }
     }
 
--- a/components/policy/src/dispatch.rs
+++ b/components/policy/src/dispatch.rs
@@ -10,12 +10,12 @@
 use crate::action::{Action, Refusal};
 use crate::admit::{CONFIDENT, SURE};
 use crate::fair;
-use crate::held::{Held, Stage};
 use crate::mechanism::Mechanism;
+use crate::pending::{Pending, Stage};
 use crate::pick::{self, Candidate};
-use crate::pool::{Key, Line};
+use crate::pool::{Key, Queue};
 use crate::scheduler::Scheduler;
-use crate::server::{self, FIRST, INTERVAL};
+use crate::server::{self, DEFAULT_FIRST_TOKEN_SECONDS, DEFAULT_TOKEN_SECONDS};
 
 /// How often forecasts and what depends on time alone are looked at while requests wait: well under
 /// every first-token target, and a tenth of the time between reports.
@@ -62,17 +62,17 @@
             return false;
         }
         let last = self.ticked.replace(now).unwrap_or(now);
-        let lines = self.pools.values().flat_map(|pool| &pool.lines);
+        let lines = self.pools.values().flat_map(|pool| &pool.queues);
         let waiting = lines.map(|line| (line.class, line.len()));
         let sent = self.servers.values().flat_map(|known| &known.jobs);
-        let sent = sent.filter_map(|job| self.jobs.get(*job)).map(|held| held.request.class);
+        let sent = sent.filter_map(|job| self.jobs.get(*job)).map(|pending| pending.request.class);
         self.needs.add(waiting, sent, now.saturating_duration_since(last));
         self.epoch += 1;
-        self.link.flow(self.limits.link_bytes as f64, now);
+        self.link.refill(self.limits.link_bytes as f64, now);
         for key in self.pools.keys().collect::<Vec<_>>() {
             self.part(key, now);
             self.measure(key);
-            if self.without.has(Mechanism::EarlyRefusal) {
+            if self.disabled.lacks(Mechanism::EarlyRefusal) {
                 self.trim(key, now);
             }
         }
@@ -86,7 +86,7 @@
         for member in &pool.members {
             *engines.entry(member.region).or_insert(0) += 1;
         }
-        pool.isolation.measure(&engines, now);
+        pool.isolation.update_borders(&engines, now);
     }
 
     /// Measures what a pool can do.
@@ -100,27 +100,27 @@
                 continue;
             }
             let shared = users.iter().filter(|user| self.pools[**user].servers.contains(server));
-            let places = f64::from(known.places(self.without));
-            rate += places / known.interval() / shared.count() as f64;
-            intervals.push(known.interval());
-            firsts.extend(known.first());
+            let places = f64::from(known.node_slots(self.disabled));
+            rate += places / known.token_interval() / shared.count() as f64;
+            intervals.push(known.token_interval());
+            firsts.extend(known.first_token_time());
         }
         let pool = &mut self.pools[key];
-        pool.rate = rate;
-        pool.interval = median(&mut intervals).unwrap_or(INTERVAL);
-        pool.first = median(&mut firsts).unwrap_or(FIRST);
+        pool.token_rate = rate;
+        pool.token_interval = median(&mut intervals).unwrap_or(DEFAULT_TOKEN_SECONDS);
+        pool.first_token_time = median(&mut firsts).unwrap_or(DEFAULT_FIRST_TOKEN_SECONDS);
     }
 
     /// Gives up what can't be served in time, from the end of each line.
     fn trim(&mut self, key: Key, now: Instant) {
-        for index in 0..self.pools[key].lines.len() {
+        for index in 0..self.pools[key].queues.len() {
             for _ in 0..TRIM {
-                let line = &self.pools[key].lines[index];
-                let Some(job) = line.late.tail().or_else(|| line.fresh.tail()) else { break };
-                let held = &self.jobs[job];
-                let wait = self.forecast(held, None, now);
-                let bearable = held.last_call.saturating_duration_since(now).as_secs_f64();
-                if wait <= bearable * CONFIDENT || self.promised(held) {
+                let line = &self.pools[key].queues[index];
+                let Some(job) = line.late.victim().or_else(|| line.on_time.victim()) else { break };
+                let pending = &self.jobs[job];
+                let wait = self.forecast(pending, None, now);
+                let bearable = pending.latest_send.saturating_duration_since(now).as_secs_f64();
+                if wait <= bearable * CONFIDENT || self.promised(pending) {
                     break;
                 }
                 self.give_up(job, Refusal::Late, now);
@@ -132,14 +132,14 @@
     pub(crate) fn expire(&mut self, now: Instant) {
         while let Some((at, job)) = self.timers.first().copied().filter(|(at, _)| *at <= now) {
             self.timers.remove(&(at, job));
-            let Some(held) = self.jobs.get_mut(job) else { continue };
-            held.timer = None;
-            match held.stage {
+            let Some(pending) = self.jobs.get_mut(job) else { continue };
+            pending.timer = None;
+            match pending.stage {
                 Stage::Parked => {
                     self.unqueue(job);
                     self.enqueue(job, now);
                 }
-                Stage::Waiting { .. } if now >= held.last_call => {
+                Stage::Waiting { .. } if now >= pending.latest_send => {
                     self.give_up(job, Refusal::Late, now);
                 }
                 Stage::Waiting { .. } => {
@@ -154,17 +154,17 @@
     /// Sends what finds a place.
     pub(crate) fn dispatch(&mut self, now: Instant, actions: &mut Vec<Action>) {
         while let Some((pool, index, overdue)) = self.next(now) {
-            let line = &mut self.pools[pool].lines[index];
-            let Some(job) = line.head() else { break };
-            line.blocked = self.epoch;
+            let line = &mut self.pools[pool].queues[index];
+            let Some(job) = line.peek() else { break };
+            line.blocked_epoch = self.epoch;
             match self.choose(job, overdue, now) {
                 Choice::Busy => {}
-                Choice::Full => self.pools[pool].full = self.epoch,
+                Choice::Full => self.pools[pool].full_epoch = self.epoch,
                 Choice::Nobody => self.give_up(job, Refusal::NoServer, now),
                 Choice::Server(server) => {
-                    self.jobs[job].overdue |= overdue;
+                    self.jobs[job].ahead_of_turn |= overdue;
                     self.send(job, server, now);
-                    self.pools[pool].lines[index].blocked = 0;
+                    self.pools[pool].queues[index].blocked_epoch = 0;
                     actions.push(Action::Send { job, server });
                 }
             }
@@ -175,13 +175,13 @@
     fn next(&self, now: Instant) -> Option<Place> {
         let mut best: Option<((bool, u8, u64), Place)> = None;
         for (key, pool) in &self.pools {
-            for (index, line) in pool.lines.iter().enumerate() {
-                let full = pool.full == self.epoch && line.tier != self.top;
-                if full || line.blocked == self.epoch || line.head().is_none() {
+            for (index, line) in pool.queues.iter().enumerate() {
+                let full = pool.full_epoch == self.epoch && line.tier != self.top;
+                if full || line.blocked_epoch == self.epoch || line.peek().is_none() {
                     continue;
                 }
                 let overdue = self.overdue(line, now);
-                let order = (!overdue, line.tier, self.fair.class(line.class));
+                let order = (!overdue, line.tier, self.fair.class_counter(line.class));
                 if best.as_ref().is_none_or(|(first, ..)| order < *first) {
                     best = Some((order, (key, index, overdue)));
                 }
@@ -190,8 +190,8 @@
         best.map(|(_, place)| place)
     }
 
-    fn overdue(&self, line: &Line, now: Instant) -> bool {
-        if !self.without.has(Mechanism::LongestWait) {
+    fn overdue(&self, line: &Queue, now: Instant) -> bool {
+        if !self.disabled.lacks(Mechanism::LongestWait) {
             return false;
         }
         let since = self.turns.get(line.class).and_then(|turn| turn.since);
@@ -203,18 +203,18 @@
         if !self.staffed(self.jobs[job].pool) {
             return Choice::Nobody;
         }
-        if self.reads(&self.jobs[job]) {
-            let (chosen, free) = self.engine(&self.jobs[job], now);
+        if self.prefill_rates_known(&self.jobs[job]) {
+            let (chosen, free) = self.select_engine(&self.jobs[job], now);
             let Some(chosen) = chosen else {
                 return if free { Choice::Busy } else { Choice::Full };
             };
-            self.engaged(job, chosen, now);
+            self.record_engine_send(job, chosen, now);
             return Choice::Server(chosen.server);
         }
         let mut candidates = std::mem::take(&mut self.scratch);
-        let (held, without) = (&self.jobs[job], self.without);
-        let free = self.candidates(&mut candidates, held, overdue, now);
-        let picked = pick::pick(&candidates, held.request.prefix, &mut self.rng, without);
+        let (pending, without) = (&self.jobs[job], self.disabled);
+        let free = self.candidates(&mut candidates, pending, overdue, now);
+        let picked = pick::pick(&candidates, pending.request.prefix, &mut self.rng, without);
         let choice = picked.map_or(if free { Choice::Busy } else { Choice::Full }, Choice::Server);
         candidates.clear();
         self.scratch = candidates;
@@ -226,52 +226,56 @@
     fn candidates(
         &self,
         into: &mut Vec<Candidate>,
-        held: &Held,
+        pending: &Pending,
         overdue: bool,
         now: Instant,
     ) -> bool {
-        let pool = &self.pools[held.pool];
-        let (rest, safe) = (self.rest(held, SURE), self.rest(held, SAFE));
-        let left = held.request.deadline.saturating_duration_since(now).as_secs_f64();
-        let ejected = pool.servers.iter().filter(|key| self.ejected(**key, now)).count();
+        let pool = &self.pools[pending.pool];
+        let (rest, safe) = (self.rest(pending, SURE), self.rest(pending, SAFE));
+        let left = pending.request.deadline.saturating_duration_since(now).as_secs_f64();
+        let ejected = pool.servers.iter().filter(|key| self.is_ejected(**key, now)).count();
         // All of a pool out at once says more about this node than about the servers.
         let panic = ejected == pool.servers.len();
-        let link = self.without.has(Mechanism::Link);
-        let urgent = self.urgent(held, now);
+        let link = self.disabled.lacks(Mechanism::LinkBudget);
+        let urgent = self.urgent(pending, now);
         let (mut near, mut far, mut free) = (false, 0, false);
         for key in &pool.servers {
             let known = &self.servers[*key];
-            if !known.permitted(now) {
+            if !known.has_permit(now) {
                 continue;
             }
-            let here = known.terms.region == held.request.region;
-            near |= here && !known.leaving() && !self.ejected(*key, now);
-            let place = known.free(self.without);
+            let here = known.terms.region == pending.request.region;
+            near |= here && !known.leaving() && !self.is_ejected(*key, now);
+            let place = known.has_free_slot(self.disabled);
             free |= place;
-            let beyond = !place && urgent && known.roomy(now, self.without);
+            let beyond = !place && urgent && known.has_spare_slots(now, self.disabled);
             if !place && !beyond {
                 continue;
             }
-            if !self.takes(known, held, overdue) || (!panic && self.barred(*key, now)) {
+            if !self.takes(known, pending, overdue) || (!panic && self.is_excluded(*key, now)) {
                 continue;
             }
-            let interval = known.interval();
-            let straggles = interval > pool.interval * STRAGGLER;
+            let interval = known.token_interval();
+            let straggles = interval > pool.token_interval * STRAGGLER;
             let tokens = if straggles { safe } else { rest };
-            let load = known.load(now, self.without);
+            let load = known.load(now, self.disabled);
             let over = (load + 1.0 - f64::from(known.slots())).max(0.0);
-            let queue = over * pool.service(USUAL) / f64::from(known.slots().max(1));
-            let time = queue + known.first().unwrap_or(pool.first) + interval * f64::from(tokens);
-            if time > left && !overdue && self.without.has(Mechanism::Fit) {
+            let queue = over * pool.service_seconds(USUAL) / f64::from(known.slots().max(1));
+            let time = queue
+                + known.first_token_time().unwrap_or(pool.first_token_time)
+                + interval * f64::from(tokens);
+            if time > left && !overdue && self.disabled.lacks(Mechanism::DeadlineFit) {
                 continue;
             }
             let load = load / f64::from(known.slots().max(1));
-            let hangs = if known.terms.reads.is_some() || !self.without.has(Mechanism::Ejection) {
+            let hangs = if known.terms.prefill_rate.is_some()
+                || !self.disabled.lacks(Mechanism::Ejection)
+            {
                 0.0
             } else {
-                self.hangs(known, now)
+                self.longest_own_overdue(known, now)
             };
-            let time = time * (1.0 + self.faults(known, now) * FAULTY) + hangs;
+            let time = time * (1.0 + self.failure_rate(known, now) * FAULTY) + hangs;
             let candidate = Candidate { server: *key, salt: known.terms.salt, load, time };
             if here || !link {
                 into.insert(into.len() - far, candidate);
@@ -281,14 +285,14 @@
             }
         }
         // A server that just failed is as good as none.
-        let spent = |candidate: &Candidate| Some(candidate.server) == held.avoid;
+        let spent = |candidate: &Candidate| Some(candidate.server) == pending.avoid;
         let only_far = into[..into.len() - far].iter().all(spent);
-        let again = held.avoid.is_some();
-        if far > 0 && !(only_far && self.crosses(held, near && !again, now)) {
+        let again = pending.avoid.is_some();
+        if far > 0 && !(only_far && self.may_cross_link(pending, near && !again, now)) {
             into.truncate(into.len() - far);
         }
         if into.len() > 1
-            && let Some(avoid) = held.avoid
+            && let Some(avoid) = pending.avoid
         {
             into.retain(|candidate| candidate.server != avoid);
         }
@@ -296,69 +300,74 @@
     }
 
     /// Whether a server takes requests of this tier now.
-    fn takes(&self, known: &server::State, held: &Held, overdue: bool) -> bool {
-        let awaited = known.awaited(self.without).is_some_and(|waiting| waiting < held.tier);
+    fn takes(&self, known: &server::State, pending: &Pending, overdue: bool) -> bool {
+        let awaited =
+            known.peer_waiting_tier(self.disabled).is_some_and(|waiting| waiting < pending.tier);
         !known.leaving() && (!awaited || overdue)
     }
 
     /// A request of the highest tier that waits long goes beyond this node's part: engines honour
     /// tiers, so if the place is a peer's, a lower tier waits for it and not this request.
-    fn urgent(&self, held: &Held, now: Instant) -> bool {
-        held.tier == self.top && self.in_danger(held, now)
+    fn urgent(&self, pending: &Pending, now: Instant) -> bool {
+        pending.tier == self.top && self.in_danger(pending, now)
     }
 
     /// Part of its attempts of late that failed.
-    pub(crate) fn faults(&self, known: &server::State, now: Instant) -> f64 {
-        let told = self.without.has(Mechanism::Ejection) && self.without.has(Mechanism::Faults);
-        if told { known.health.faults(now) } else { 0.0 }
+    pub(crate) fn failure_rate(&self, known: &server::State, now: Instant) -> f64 {
+        let told =
+            self.disabled.lacks(Mechanism::Ejection) && self.disabled.lacks(Mechanism::FailureRate);
+        if told { known.health.failure_rate(now) } else { 0.0 }
     }
 
-    pub(crate) fn ejected(&self, server: ids::Server, now: Instant) -> bool {
+    pub(crate) fn is_ejected(&self, server: ids::Server, now: Instant) -> bool {
         let known = &self.servers[server];
-        self.without.has(Mechanism::Ejection) && (known.health.ejected(now) || known.silent(now))
+        self.disabled.lacks(Mechanism::Ejection)
+            && (known.health.is_ejected(now) || known.reports_stopped(now))
     }
 
-    pub(crate) fn barred(&self, server: ids::Server, now: Instant) -> bool {
+    pub(crate) fn is_excluded(&self, server: ids::Server, now: Instant) -> bool {
         let known = &self.servers[server];
-        let probed = known.health.probed() && known.sent > 0;
-        self.ejected(server, now) || (self.without.has(Mechanism::Ejection) && probed)
+        let probed = known.health.is_on_probation() && known.sent > 0;
+        self.is_ejected(server, now) || (self.disabled.lacks(Mechanism::Ejection) && probed)
     }
 
     /// Whether a request may cross the link: it buys a target, and the budget bears it.
-    fn crosses(&self, held: &Held, near: bool, now: Instant) -> bool {
-        let target = self.classes.get(held.request.class).map_or(Duration::ZERO, |c| c.first_token);
-        let waited = now.saturating_duration_since(held.request.arrived);
-        let reserve = (f64::from(held.tier) * LINK_STEP).min(0.8);
-        let affordable = self.link.part() > reserve;
+    fn may_cross_link(&self, pending: &Pending, near: bool, now: Instant) -> bool {
+        let target =
+            self.classes.get(pending.request.class).map_or(Duration::ZERO, |c| c.first_token);
+        let waited = now.saturating_duration_since(pending.request.arrived);
+        let reserve = (f64::from(pending.tier) * LINK_STEP).min(0.8);
+        let affordable = self.link.fill_ratio() > reserve;
         affordable && (!near || waited >= target.mul_f64(CROSS))
     }
 
     fn send(&mut self, job: ids::Job, server: ids::Server, now: Instant) {
         self.unqueue(job);
-        let held = &mut self.jobs[job];
-        held.stage = Stage::Sent(server);
-        held.attempts = held.attempts.saturating_add(1);
-        held.sent_at = now;
-        let (class, workspace, tier) = (held.request.class, held.request.workspace, held.tier);
-        let (pool, tokens, first) = (held.pool, held.tokens, held.attempts == 1);
-        let (model, urgency) = (held.request.model, held.urgency);
-        let bytes = held.request.prompt_tokens * PROMPT_BYTES + tokens * EVENT_BYTES;
-        let charge = fair::cost(held.request.prompt_tokens, held.produced + tokens);
-        let more = i64::from(charge) - i64::from(held.charged);
-        held.charged = charge;
-        let far = self.servers[server].terms.region != held.request.region;
-        self.servers[server].send(job, urgency, now);
+        let pending = &mut self.jobs[job];
+        pending.stage = Stage::Sent(server);
+        pending.attempts = pending.attempts.saturating_add(1);
+        pending.sent_at = now;
+        let (class, workspace, tier) =
+            (pending.request.class, pending.request.workspace, pending.tier);
+        let (pool, tokens, first) = (pending.pool, pending.tokens, pending.attempts == 1);
+        let (model, urgency) = (pending.request.model, pending.priority);
+        let bytes = pending.request.prompt_tokens * PROMPT_BYTES + tokens * EVENT_BYTES;
+        let charge = fair::cost(pending.request.prompt_tokens, pending.produced + tokens);
+        let more = i64::from(charge) - i64::from(pending.charged);
+        pending.charged = charge;
+        let far = self.servers[server].terms.region != pending.request.region;
+        self.servers[server].record_send(job, urgency, now);
         let lane = self.lane(workspace);
-        let counter = self.fair.workspace(class, lane);
-        let line = self.pools[pool].line(tier, class);
-        line.flow.add(tokens, now);
-        line.floor = line.floor.max(counter);
+        let counter = self.fair.workspace_counter(class, lane);
+        let line = self.pools[pool].queue_mut(tier, class);
+        line.throughput.record(tokens, now);
+        line.last_counter = line.last_counter.max(counter);
         let waits = line.len() > 0;
         if let Some(turn) = self.turns.get_mut(class) {
             turn.since = waits.then_some(now);
         }
         if far {
-            self.link.owe(f64::from(bytes));
+            self.link.overdraw(f64::from(bytes));
         }
         if first {
             let part = f64::from(self.limits.retry_percent) / 100.0;
--- a/components/policy/src/draws.rs
+++ b/components/policy/src/sampling.rs
@@ -5,9 +5,9 @@
 //! before anyone hears of it, while most others stay idle. So a request looks at the engines that keep its
 //! prompt's beginning, and at a few others of each group, drawn by their free places.
 
-use crate::held::Held;
 use crate::isolation::Group;
-use crate::pick::mix;
+use crate::pending::Pending;
+use crate::pick::mix64;
 use crate::pool::Member;
 use crate::scheduler::Scheduler;
 
@@ -26,18 +26,18 @@
     /// free for it.
     pub(crate) fn drawn<'a>(
         &self,
-        held: &Held,
+        pending: &Pending,
         members: impl Iterator<Item = (&'a Member, f64)>,
         homes: [Option<ids::Server>; 2],
     ) -> Vec<ids::Server> {
-        let pool = &self.pools[held.pool];
+        let pool = &self.pools[pending.pool];
         let mut groups: [Vec<Draw>; Group::COUNT] = Default::default();
         let mut looked_at: Vec<_> = homes.into_iter().flatten().collect();
-        looked_at.extend(self.prefixes.holders(&held.request.shared));
+        looked_at.extend(self.prefixes.holders(&pending.request.shared));
         for (member, free) in members {
-            let group = pool.isolation.engine(member.region, member.rank);
+            let group = pool.isolation.engine_group(member.region, member.rank);
             let salt = self.servers[member.server].terms.salt;
-            groups[group as usize].push((draw(held.jitter, salt, free), member.server));
+            groups[group as usize].push((draw(pending.jitter, salt, free), member.server));
         }
         for group in &mut groups {
             group.sort_by(|a, b| a.0.total_cmp(&b.0));
@@ -49,7 +49,7 @@
 
 /// A number by which an engine with twice the free places is drawn first twice as often.
 fn draw(jitter: u64, salt: u64, free: f64) -> f64 {
-    let uniform = (mix(jitter ^ salt ^ SALT) as f64 + 1.0) / (u64::MAX as f64 + 1.0);
+    let uniform = (mix64(jitter ^ salt ^ SALT) as f64 + 1.0) / (u64::MAX as f64 + 1.0);
     -uniform.ln() / free.max(FULL)
 }
 
--- a/components/policy/tests/isolation.rs
+++ b/components/policy/tests/isolation.rs
@@ -5,7 +5,7 @@
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
 
-use common::prompts::{DRAFT, READS, engines, request};
+use common::prompts::{DRAFT, PREFILL_RATE, fixture_with_engines, request};
 use common::{Fixture, class};
 use policy::{Action, Class, Ending, Mechanism, Policy, Request};
 
@@ -25,14 +25,14 @@
 const QUERY_TOKENS: u32 = 2_400;
 
 fn site(without: Option<Mechanism>) -> Fixture {
-    let mut fixture = engines(ENGINES, SLOTS);
+    let mut fixture = fixture_with_engines(ENGINES, SLOTS);
     for (index, bears) in BEARS_MS.into_iter().enumerate() {
         let token_interval = Duration::from_millis(bears);
         let terms = Class { token_interval, ..class(index as u8, 1_000) };
         fixture.scheduler.set_class(fixture.classes[index], terms);
     }
     let scheduler = std::mem::take(&mut fixture.scheduler);
-    fixture.scheduler = without.into_iter().fold(scheduler, |all, one| all.without(one));
+    fixture.scheduler = without.into_iter().fold(scheduler, |all, one| all.with_disabled(one));
     fixture
 }
 
@@ -49,19 +49,19 @@
         Default::default();
     for step in 0..STEPS {
         for job in ends.remove(&step).unwrap_or_default() {
-            fixture.scheduler.ended(job, Ending::Whole, fixture.now);
+            fixture.scheduler.attempt_ended(job, Ending::Completed, fixture.now);
         }
         for class in [STREAM, QUERY, DRAFT] {
             if !step.is_multiple_of(EVERY[class]) {
                 continue;
             }
             let request = prompt(&fixture, class, step % 200);
-            let seconds = f64::from(request.prompt_tokens) / f64::from(READS);
+            let seconds = f64::from(request.prompt_tokens) / f64::from(PREFILL_RATE);
             let job = fixture.scheduler.submit(request, fixture.now);
             let mut actions = vec![];
             fixture.scheduler.poll(fixture.now, &mut actions);
             let Some(Action::Send { server, .. }) = actions.pop() else { panic!("no place") };
-            fixture.scheduler.tokens(job, 1, fixture.now + STEP * 4);
+            fixture.scheduler.record_tokens(job, 1, fixture.now + STEP * 4);
             ends.entry(step + LASTS[class]).or_default().push(job);
             if step < SETTLED {
                 continue;
@@ -94,6 +94,6 @@
 /// The same without isolation groups, so that the test above can't pass for want of prompts.
 #[test]
 fn without_groups_streams_are_disturbed() {
-    let part = disturbed(Some(Mechanism::Groups));
+    let part = disturbed(Some(Mechanism::IsolationGroups));
     assert!(part > 0.05, "{part:.3}");
 }
