--- a/components/forward/src/gossip.rs
+++ b/components/forward/src/gossip.rs
@@ -237,7 +237,7 @@
 
 /// Sums all reports anew. Engines at which nobody waits and most places are free aren't worth telling.
 fn refresh<A: Adapter>(state: &State<A>) {
-    let (names, scheduler) = (state.registry.borrow(), state.turns.scheduler.borrow());
+    let (names, scheduler) = (state.registry.borrow(), state.driver.scheduler.borrow());
     let worth = |mut load: Load| {
         let slots =
             names.server_by_wire_key(load.server).and_then(|server| scheduler.slots(server));
@@ -263,7 +263,7 @@
 
 /// What this node's prompts take engines to read.
 fn own<A: Adapter>(state: &State<A>) -> Vec<Load> {
-    let backlogs = state.turns.scheduler.borrow().backlogs(state.clock.now());
+    let backlogs = state.driver.scheduler.borrow().backlogs(state.clock.now());
     let names = state.registry.borrow();
     let load = |backlog: Backlog| {
         Some(Load {
@@ -281,7 +281,7 @@
 
 /// Requests that this node sends to engines in ten seconds, by rank.
 fn own_sends<A: Adapter>(state: &State<A>) -> Vec<u32> {
-    by_rank(&state.turns.scheduler.borrow().send_rates(state.clock.now()), RATE_SECONDS)
+    by_rank(&state.driver.scheduler.borrow().send_rates(state.clock.now()), RATE_SECONDS)
 }
 
 /// Amounts by rank in a smaller unit; ranks at the end that have none are left out.
@@ -294,7 +294,7 @@
 
 /// Parts of prompts that this node saw engines keep, that others haven't heard of.
 fn own_parts<A: Adapter>(state: &State<A>) -> Vec<(u32, u64)> {
-    let updates = state.turns.scheduler.borrow_mut().cache_updates(state.clock.now());
+    let updates = state.driver.scheduler.borrow_mut().cache_updates(state.clock.now());
     let names = state.registry.borrow();
     let row = |cached: Cached| Some((wire::key(&names.server(cached.server)?.name), cached.part));
     updates.into_iter().filter_map(row).collect()
@@ -306,7 +306,7 @@
     let cached =
         |row: &(u32, u64)| Some(Cached { server: names.server_by_wire_key(row.0)?, part: row.1 });
     let reported = parts.iter().filter_map(cached);
-    state.turns.scheduler.borrow_mut().apply_cache_updates(reported, state.clock.now());
+    state.driver.scheduler.borrow_mut().apply_cache_updates(reported, state.clock.now());
 }
 
 /// Takes in what all other nodes' requests take of engines, and how many they send.
@@ -324,7 +324,7 @@
     };
     let backlogs: Vec<_> = loads.iter().filter_map(backlog).collect();
     let sends: Vec<_> = sends.iter().map(|sends| f64::from(*sends) / RATE_SECONDS).collect();
-    let (mut scheduler, now) = (state.turns.scheduler.borrow_mut(), state.clock.now());
+    let (mut scheduler, now) = (state.driver.scheduler.borrow_mut(), state.clock.now());
     scheduler.set_backlogs(&backlogs, now);
     scheduler.set_peer_send_rates(&sends, now);
 }
--- a/components/forward/src/intake.rs
+++ b/components/forward/src/intake.rs
@@ -169,7 +169,7 @@
     let mut names = state.registry.borrow_mut();
     let model = names.model(service, call.model.as_deref());
     let (class, workspace) =
-        names.class_and_workspace(&mut state.turns.scheduler.borrow_mut(), book, found);
+        names.class_and_workspace(&mut state.driver.scheduler.borrow_mut(), book, found);
     let left = limit.saturating_sub(state.elapsed_since(arrived));
     Ok(policy::Request {
         class,
--- a/components/forward/src/lib.rs
+++ b/components/forward/src/lib.rs
@@ -83,7 +83,7 @@
         if state.disabled.is_enabled(Mechanism::LoadGossip) {
             gossip::start(&state);
         }
-        state.turns.start();
+        state.driver.start();
         Ok(Proxy { state, callers, operators, peers })
     }
 
--- a/components/forward/src/limits.rs
+++ b/components/forward/src/limits.rs
@@ -87,7 +87,7 @@
         return;
     }
     let names = state.registry.borrow();
-    let mut scheduler = state.turns.scheduler.borrow_mut();
+    let mut scheduler = state.driver.scheduler.borrow_mut();
     for named in state.rate_limits.throttle.borrow().all() {
         if let Some(server) = names.server_by_wire_key(named.server) {
             scheduler.set_rate_limited(server, named.rate.is_some());
@@ -101,12 +101,12 @@
     let names = state.registry.borrow();
     for (server, count) in permits {
         if let Some(server) = names.server_by_wire_key(*server) {
-            state.turns.scheduler.borrow_mut().add_permits(server, *count, now);
+            state.driver.scheduler.borrow_mut().add_permits(server, *count, now);
         }
     }
     drop(names);
     if !permits.is_empty() {
-        state.turns.pump();
+        state.driver.pump();
     }
 }
 
--- a/components/forward/src/operators.rs
+++ b/components/forward/src/operators.rs
@@ -28,7 +28,7 @@
 fn status<A: Adapter>(state: &State<A>) -> serde_json::Value {
     use clock::Clock;
     let now = state.clock.now();
-    let scheduler = state.turns.scheduler.borrow();
+    let scheduler = state.driver.scheduler.borrow();
     let names = state.registry.borrow();
     let servers = names.servers().map(|(key, entry)| {
         let status = scheduler.status(key, now);
--- a/components/forward/src/serve.rs
+++ b/components/forward/src/serve.rs
@@ -97,7 +97,7 @@
 
 async fn serve<A: Adapter>(state: Rc<State<A>>, job: Job, held: OpenRequest<A>) -> Answer {
     let mut waiting = Waiting::Fresh(life::Request::new(ids::Request::new()).admit().queue());
-    let place = Place::new(&state.turns, job.request.clone());
+    let place = Place::new(&state.driver, job.request.clone());
     let sent = state.clock.now();
     let mut course = Course {
         state,
--- a/components/forward/src/state.rs
+++ b/components/forward/src/state.rs
@@ -60,7 +60,7 @@
     pub(crate) disabled: Disabled,
     pub(crate) clock: clock::Runtime,
     pub(crate) adapter: Protocols<A>,
-    pub(crate) turns: Rc<Turns>,
+    pub(crate) driver: Rc<Turns>,
     /// Requests during which servers crashed.
     pub(crate) crashes: Rc<Crashes>,
     pub(crate) registry: RefCell<Registry>,
@@ -139,7 +139,7 @@
             disabled,
             clock,
             adapter,
-            turns: Turns::new(scheduler, clock),
+            driver: Turns::new(scheduler, clock),
             crashes: Crashes::new(seed, clock),
             registry: RefCell::new(registry),
             settings: RefCell::default(),
@@ -213,7 +213,7 @@
 
     /// Recent work of this node at engines.
     pub(crate) fn own_work(&self) -> Work {
-        let [strict, steady, bulk] = self.turns.scheduler.borrow().recent_engine_seconds();
+        let [strict, steady, bulk] = self.driver.scheduler.borrow().recent_engine_seconds();
         let millis = |seconds: f64| (seconds * 1_000.0) as u32;
         let kib_per_s = self.crossing.kib_per_s(self.clock.now());
         let (strict_ms, steady_ms, bulk_ms) = (millis(strict), millis(steady), millis(bulk));
@@ -231,11 +231,11 @@
         self.fleet_nodes.set(work.nodes.max(1));
         let bounded = self.disabled.is_enabled(Own::RegionalAffinity);
         let crosses = !bounded || self.crossing.allowed(work.kib_per_s);
-        self.turns.scheduler.borrow_mut().set_cross_region(crosses);
+        self.driver.scheduler.borrow_mut().set_cross_region(crosses);
         if work.nodes > 1 {
             let groups = [work.strict_ms, work.steady_ms, work.bulk_ms];
             let seconds = groups.map(|millis| f64::from(millis) / 1_000.0);
-            self.turns.scheduler.borrow_mut().set_fleet_engine_seconds(seconds, self.clock.now());
+            self.driver.scheduler.borrow_mut().set_fleet_engine_seconds(seconds, self.clock.now());
         }
     }
 
@@ -302,7 +302,7 @@
             return;
         }
         self.newest_invalid.set(false);
-        self.registry.borrow_mut().apply(&mut self.turns.scheduler.borrow_mut(), &settings);
+        self.registry.borrow_mut().apply(&mut self.driver.scheduler.borrow_mut(), &settings);
         self.listener_limits.send_modify(|limits| {
             limits.head_time = settings.intake.head_time;
             // Callers reuse connections that were idle for nearly as long as this allows.
@@ -315,7 +315,7 @@
         self.metrics.settings.event("accepted");
         self.metrics.settings.revision(settings.revision);
         *self.settings.borrow_mut() = Some(Rc::new(settings));
-        self.turns.pump();
+        self.driver.pump();
     }
 
     /// Updates the scheduler after these servers were listed, changed or removed.
@@ -325,7 +325,7 @@
         }
         let roster = self.roster.borrow();
         let mut registry = self.registry.borrow_mut();
-        let mut scheduler = self.turns.scheduler.borrow_mut();
+        let mut scheduler = self.driver.scheduler.borrow_mut();
         for name in servers {
             match roster.get(&name) {
                 Some(entry) => {
@@ -345,7 +345,7 @@
         }
         drop((roster, registry, scheduler));
         limits::apply(self);
-        self.turns.pump();
+        self.driver.pump();
     }
 }
 
