--- a/components/forward/src/adapter.rs
+++ b/components/forward/src/adapter.rs
@@ -79,7 +79,7 @@
     }
 
     /// Rate limit of a server, as stated in the head of a response.
-    pub enum RateLimit {
+    pub enum StatedLimit {
         /// None is stated; only the server's slots limit it.
         Unspecified,
         /// Requests per second from all nodes together.
@@ -110,7 +110,7 @@
     fn check_response(&self, head: &ResponseHead, call: &Call, server: &Entry) -> Verdict;
 
     /// The server's rate limit, as stated in a response.
-    fn rate_limit(&self, head: &ResponseHead) -> RateLimit;
+    fn rate_limit(&self, head: &ResponseHead) -> StatedLimit;
 
     /// How long the server keeps the connection of a response open while idle, if it states that.
     fn keep_alive(&self, head: &ResponseHead) -> Option<Duration>;
--- a/components/forward/src/attempt.rs
+++ b/components/forward/src/attempt.rs
@@ -12,7 +12,7 @@
 use link::{Body, Link};
 use policy::Ending;
 
-use crate::adapter::{Adapter, Attempt, RateLimit, ServerProtocol, Verdict};
+use crate::adapter::{Adapter, Attempt, ServerProtocol, StatedLimit, Verdict};
 use crate::events::{Disorder, Scan};
 use crate::intake::Job;
 use crate::limits;
@@ -174,7 +174,7 @@
         if matches!(verdict, Verdict::Answer | Verdict::Declined) {
             let limit = state.adapter.servers.rate_limit(&head);
             // What a server says that runs nothing, or fails, needn't name its limit.
-            if limit != RateLimit::Unspecified || head.status.is_success() {
+            if limit != StatedLimit::Unspecified || head.status.is_success() {
                 limits::record_answer(state, server, &limit, sent);
             }
         }
--- a/components/forward/src/gossip.rs
+++ b/components/forward/src/gossip.rs
@@ -246,7 +246,7 @@
 /// Sums all reports again. Nodes aren't sent the occupied slots of an engine below [`CROWDED_PART`], nor an
 /// engine at which there is nothing else to report.
 fn refresh_sums<A: Adapter>(state: &State<A>) {
-    let (registry, scheduler) = (state.registry.borrow(), state.turns.scheduler.borrow());
+    let (registry, scheduler) = (state.registry.borrow(), state.driver.scheduler.borrow());
     let to_report = |mut load: Load| {
         let slots =
             registry.server_by_wire_key(load.server).and_then(|server| scheduler.slots(server));
@@ -276,7 +276,7 @@
 
 /// Load of this node's requests at engines.
 fn own_loads<A: Adapter>(state: &State<A>) -> Vec<Load> {
-    let backlogs = state.turns.scheduler.borrow().backlogs(state.clock.now());
+    let backlogs = state.driver.scheduler.borrow().backlogs(state.clock.now());
     let registry = state.registry.borrow();
     let load = |backlog: Backlog| {
         Some(Load {
@@ -294,7 +294,7 @@
 
 /// Requests that this node sends to engines in ten seconds, by priority.
 fn own_sends<A: Adapter>(state: &State<A>) -> Vec<u32> {
-    to_whole_units(&state.turns.scheduler.borrow().send_rates(state.clock.now()), SENDS_SECONDS)
+    to_whole_units(&state.driver.scheduler.borrow().send_rates(state.clock.now()), SENDS_SECONDS)
 }
 
 /// Amounts by priority, rounded to a smaller unit of which so many make one. Priorities at the end without an
@@ -310,7 +310,7 @@
 /// Parts of prompts that engines cache by this node's requests and that other nodes may not know of: the key of
 /// the engine's name, and the part.
 fn own_cached_parts<A: Adapter>(state: &State<A>) -> Vec<(u32, u64)> {
-    let updates = state.turns.scheduler.borrow_mut().cache_updates(state.clock.now());
+    let updates = state.driver.scheduler.borrow_mut().cache_updates(state.clock.now());
     let registry = state.registry.borrow();
     let row =
         |cached: Cached| Some((wire::key(&registry.server(cached.server)?.name), cached.part));
@@ -324,7 +324,7 @@
         Some(Cached { server: registry.server_by_wire_key(row.0)?, part: row.1 })
     };
     let reported = parts.iter().filter_map(cached);
-    state.turns.scheduler.borrow_mut().apply_cache_updates(reported, state.clock.now());
+    state.driver.scheduler.borrow_mut().apply_cache_updates(reported, state.clock.now());
 }
 
 /// Hands the load of all other nodes at engines and their rates of requests to the scheduler.
@@ -342,7 +342,7 @@
     };
     let backlogs: Vec<_> = loads.iter().filter_map(backlog).collect();
     let sends: Vec<_> = sends.iter().map(|sends| f64::from(*sends) / SENDS_SECONDS).collect();
-    let (mut scheduler, now) = (state.turns.scheduler.borrow_mut(), state.clock.now());
+    let (mut scheduler, now) = (state.driver.scheduler.borrow_mut(), state.clock.now());
     scheduler.set_backlogs(&backlogs, now);
     scheduler.set_peer_send_rates(&sends, now);
 }
--- a/components/forward/src/limits.rs
+++ b/components/forward/src/limits.rs
@@ -9,7 +9,7 @@
 use clock::Clock;
 use policy::{Issuer, RateLimit, Throttle};
 
-use crate::adapter::{self, Adapter};
+use crate::adapter::{Adapter, StatedLimit};
 use crate::mechanism::Mechanism;
 use crate::state::State;
 
@@ -47,15 +47,15 @@
 pub(crate) fn record_answer<A: Adapter>(
     state: &State<A>,
     server: &Entry,
-    limit: &adapter::RateLimit,
+    limit: &StatedLimit,
     sent: Instant,
 ) {
     let (key, now) = (wire::key(&server.name), state.clock.now());
     let before = state.rate_limits.throttle.borrow().rate(key);
     let rate = match limit {
-        adapter::RateLimit::Unspecified => None,
-        adapter::RateLimit::PerSecond(rate) => Some(*rate),
-        adapter::RateLimit::Malformed(text) => {
+        StatedLimit::Unspecified => None,
+        StatedLimit::PerSecond(rate) => Some(*rate),
+        StatedLimit::Malformed(text) => {
             log::warn!(
                 server = server.name.as_str(), limit = text.as_str();
                 "ignoring a server's rate limit that can't be parsed"
@@ -94,7 +94,7 @@
         return;
     }
     let registry = state.registry.borrow();
-    let mut scheduler = state.turns.scheduler.borrow_mut();
+    let mut scheduler = state.driver.scheduler.borrow_mut();
     for limit in state.rate_limits.throttle.borrow().all() {
         if let Some(server) = registry.server_by_wire_key(limit.server) {
             scheduler.set_rate_limited(server, limit.rate.is_some());
@@ -108,12 +108,12 @@
     let registry = state.registry.borrow();
     for (server, count) in permits {
         if let Some(server) = registry.server_by_wire_key(*server) {
-            state.turns.scheduler.borrow_mut().add_permits(server, *count, now);
+            state.driver.scheduler.borrow_mut().add_permits(server, *count, now);
         }
     }
     drop(registry);
     if !permits.is_empty() {
-        state.turns.pump();
+        state.driver.pump();
     }
 }
 
