--- a/components/forward/src/attempt.rs
+++ b/components/forward/src/attempt.rs
@@ -175,7 +175,7 @@
             let limit = state.adapter.servers.rate_limit(&head);
             // What a server says that runs nothing, or fails, needn't name its limit.
             if limit != StatedLimit::Unspecified || head.status.is_success() {
-                limits::answered(state, server, &limit, sent);
+                limits::record_answer(state, server, &limit, sent);
             }
         }
         match verdict {
--- a/components/forward/src/state.rs
+++ b/components/forward/src/state.rs
@@ -23,8 +23,8 @@
 use crate::node::Node;
 use crate::registry::Registry;
 use crate::replica::Replica;
-use crate::source::{Callers, Sources};
-use crate::updates::{self, Received};
+use crate::source::{Delegates, Sources};
+use crate::updates::{self, WorkReports};
 
 /// Idle connections kept to one server. Servers accept a limited number from all nodes together.
 const MAX_IDLE_CONNECTIONS: usize = 24;
@@ -90,14 +90,14 @@
     /// Notified when the replica, its proof of freshness or the number of failures changes.
     pub(crate) updated: Notify,
     pub(crate) peer_client: awc::Client,
-    /// Nodes that ask this one for settings and servers.
-    pub(crate) followers: Callers,
+    /// Candidates for this seed's delegate, and whether this node is the delegate of another seed.
+    pub(crate) delegates: Delegates,
     /// Number of nodes in the fleet, as last reported; at least 1.
     pub(crate) fleet_nodes: Cell<u32>,
     /// Work that other nodes reported to this one.
-    pub(crate) node_work: Received,
+    pub(crate) work_reports: WorkReports,
     /// Work that the other seeds reported for themselves and their nodes.
-    pub(crate) seed_work: Received,
+    pub(crate) seed_work_reports: WorkReports,
     /// Exchange of engine loads between nodes.
     pub(crate) gossip: Gossip,
     pub(crate) crossing: Crossing,
@@ -156,11 +156,11 @@
             replica: RefCell::default(),
             history_lost: Cell::new(false),
             updated: Notify::new(),
-            peer_client: updates::client(),
-            followers: Callers::default(),
+            peer_client: updates::peer_client(),
+            delegates: Delegates::default(),
             fleet_nodes: Cell::new(1),
-            node_work: Received::default(),
-            seed_work: Received::default(),
+            work_reports: WorkReports::default(),
+            seed_work_reports: WorkReports::default(),
             gossip,
             crossing: Crossing::new(clock.now()),
             rate_limits: Limits::default(),
@@ -200,7 +200,7 @@
     /// The seeds, in the order in which this node asks them.
     pub(crate) fn seeds(&self) -> Vec<SocketAddr> {
         let node = self.node();
-        crate::source::nearest(&node.name, node.peers, &node.seeds)
+        crate::source::seeds_by_preference(&node.name, node.peers, &node.seeds)
     }
 
     /// The other seeds if this node is a seed; otherwise none.
@@ -223,14 +223,14 @@
     /// Work of this node and of all nodes whose reports it has received.
     pub(crate) fn fleet_work(&self) -> Work {
         let now = self.clock.now();
-        self.own_work().plus(self.node_work.sum(now)).plus(self.seed_work.sum(now))
+        self.own_work().plus(self.work_reports.sum(now)).plus(self.seed_work_reports.sum(now))
     }
 
     /// Applies the work of all nodes, as summed by this node or the peer that it asks.
     pub(crate) fn set_fleet_work(&self, work: Work) {
         self.fleet_nodes.set(work.nodes.max(1));
         let bounded = self.disabled.is_enabled(Own::RegionalAffinity);
-        let crosses = !bounded || self.crossing.allowed(work.kib_per_s);
+        let crosses = !bounded || self.crossing.update_allowed(work.kib_per_s);
         self.driver.scheduler.borrow_mut().set_cross_region(crosses);
         if work.nodes > 1 {
             let groups = [work.strict_ms, work.steady_ms, work.bulk_ms];
@@ -344,7 +344,7 @@
             }
         }
         drop((roster, registry, scheduler));
-        limits::apply(self);
+        limits::apply_to_scheduler(self);
         self.driver.pump();
     }
 }
