--- a/components/forward/src/follow.rs
+++ b/components/forward/src/follow.rs
@@ -78,7 +78,7 @@
                 if !sources.is_probing_first() {
                     record_failure(&state, source, &cause);
                 }
-                sources.set_delegate(state.followers.pick_candidate());
+                sources.set_delegate(state.delegates.pick_candidate());
                 if sources.record_failure(classify_failure(&cause), context, state.clock.now()) {
                     failed_rounds += 1;
                     let pause = if sources.is_starting() {
@@ -161,7 +161,7 @@
 }
 
 fn source_context<A: Adapter>(state: &State<A>) -> Context {
-    let is_delegate = state.followers.is_delegate(state.clock.now());
+    let is_delegate = state.delegates.is_delegate(state.clock.now());
     Context { is_delegate, fleet_nodes: state.fleet_nodes.get() }
 }
 
--- a/components/forward/src/state.rs
+++ b/components/forward/src/state.rs
@@ -90,14 +90,14 @@
     /// Notified when the replica, its proof of freshness or the number of failures changes.
     pub(crate) updated: Notify,
     pub(crate) peer_client: awc::Client,
-    /// Nodes that ask this one for settings and servers.
-    pub(crate) followers: Delegates,
+    /// Candidates for this seed's delegate, and whether this node is the delegate of another seed.
+    pub(crate) delegates: Delegates,
     /// Number of nodes in the fleet, as last reported; at least 1.
     pub(crate) fleet_nodes: Cell<u32>,
     /// Work that other nodes reported to this one.
-    pub(crate) node_work: WorkReports,
+    pub(crate) work_reports: WorkReports,
     /// Work that the other seeds reported for themselves and their nodes.
-    pub(crate) seed_work: WorkReports,
+    pub(crate) seed_work_reports: WorkReports,
     /// Exchange of engine loads between nodes.
     pub(crate) gossip: Gossip,
     pub(crate) crossing: Crossing,
@@ -157,10 +157,10 @@
             history_lost: Cell::new(false),
             updated: Notify::new(),
             peer_client: updates::peer_client(),
-            followers: Delegates::default(),
+            delegates: Delegates::default(),
             fleet_nodes: Cell::new(1),
-            node_work: WorkReports::default(),
-            seed_work: WorkReports::default(),
+            work_reports: WorkReports::default(),
+            seed_work_reports: WorkReports::default(),
             gossip,
             crossing: Crossing::new(clock.now()),
             rate_limits: Limits::default(),
@@ -223,7 +223,7 @@
     /// Work of this node and of all nodes whose reports it has received.
     pub(crate) fn fleet_work(&self) -> Work {
         let now = self.clock.now();
-        self.own_work().plus(self.node_work.sum(now)).plus(self.seed_work.sum(now))
+        self.own_work().plus(self.work_reports.sum(now)).plus(self.seed_work_reports.sum(now))
     }
 
     /// Applies the work of all nodes, as summed by this node or the peer that it asks.
--- a/components/forward/src/updates.rs
+++ b/components/forward/src/updates.rs
@@ -108,7 +108,7 @@
     state: &State<A>,
     seed: SocketAddr,
 ) -> Result<(), StoreError> {
-    let work = state.own_work().plus(state.node_work.sum(state.clock.now()));
+    let work = state.own_work().plus(state.work_reports.sum(state.clock.now()));
     let ask = UpdateRequest { from: state.node().name.clone(), work, ..UpdateRequest::default() };
     let request = state.peer_client.post(format!("http://{seed}{WORK_PATH}")).timeout(ANSWER_GRACE);
     let sent = request.send_body(ask.encode()).await;
@@ -135,17 +135,17 @@
     let Ok(ask) = UpdateRequest::decode(&body) else { return status(StatusCode::BAD_REQUEST) };
     let now = state.clock.now();
     if path == WORK_PATH {
-        state.seed_work.record(&ask.from, ask.work, now);
+        state.seed_work_reports.record(&ask.from, ask.work, now);
         return status(StatusCode::OK);
     }
     match ask.address {
-        Some(address) if state.is_seed() => state.followers.add_candidate(address),
-        _ => state.followers.record_delegation(now),
+        Some(address) if state.is_seed() => state.delegates.add_candidate(address),
+        _ => state.delegates.record_delegation(now),
     }
     if !wait_until_loaded(&state, Duration::from_millis(ask.wait_ms.into())).await {
         return status(StatusCode::SERVICE_UNAVAILABLE);
     }
-    state.node_work.record(&ask.from, ask.work, now);
+    state.work_reports.record(&ask.from, ask.work, now);
     answer_update(&state, &ask).await
 }
 
