--- a/components/policy/benches/decision.rs
+++ b/components/policy/benches/decision.rs
@@ -1,5 +1,5 @@
-//! Cost of a decision: an answer ends, a request comes, and the next one whose turn it is is sent,
-//! with all places taken and a full queue.
+//! Measures the cost of a decision: an answer ends, a request arrives, and the next one in the queue is sent,
+//! with all slots occupied and a full queue.
 
 #[path = "../tests/common/mod.rs"]
 mod common;
@@ -12,12 +12,11 @@
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
 use policy::{Action, Ending, Policy};
 
-/// Places of a server.
 const SLOTS: u32 = 8;
-/// So far apart that nothing falls due in a run.
-const USEFUL: Duration = Duration::from_secs(36_000);
-/// Time between two decisions: 10,000 a second, over a hundred times a node's part of the peak.
-const APART: Duration = Duration::from_micros(100);
+/// Time to the deadline of a request, so long that no timer expires during a run.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(36_000);
+/// Time between two decisions: 10,000 a second, over a hundred times a node's share of the peak load.
+const DECISION_INTERVAL: Duration = Duration::from_micros(100);
 
 struct Load {
     fixture: Fixture,
@@ -41,7 +40,7 @@
     fn submit(&mut self) {
         self.count += 1;
         let workspace = self.count.wrapping_mul(7_919) % self.fixture.workspaces.len();
-        let request = self.fixture.request(self.count % 3, workspace, USEFUL);
+        let request = self.fixture.request(self.count % 3, workspace, REQUEST_TIMEOUT);
         self.fixture.scheduler.submit(request, self.fixture.now);
     }
 
@@ -62,9 +61,10 @@
         }
     }
 
+    /// Ends the oldest answer, submits a request, and lets the scheduler send the next one.
     fn decide(&mut self) {
-        self.fixture.now += APART;
-        let job = self.sent.pop_front().expect("places are taken");
+        self.fixture.now += DECISION_INTERVAL;
+        let job = self.sent.pop_front().expect("all slots are occupied");
         self.fixture.scheduler.attempt_ended(job, Ending::Completed, self.fixture.now);
         self.submit();
         self.poll();
--- a/components/policy/tests/common/fleet.rs
+++ b/components/policy/tests/common/fleet.rs
@@ -1,6 +1,6 @@
-//! Several nodes before engines that read one prompt after the other, have a number of places, and give
-//! those that come free to the most urgent request. Time goes in steps; what nodes tell each other is
-//! as old as a telling.
+//! Simulates several nodes and their engines. An engine prefills one prompt after the other, has a number of
+//! slots, and gives each slot that becomes free to the waiting request of the highest priority. Time goes in
+//! steps; the nodes' reports to each other are up to one report interval old.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -12,20 +12,20 @@
 use super::Fixture;
 use super::prompts::{DRAFT, PREFILL_RATE, fixture_with_engines, request};
 
-/// Time between two steps; a stream that runs gets a token in each second one.
+/// Length of a step, and the steps between two tokens of a running stream.
 const STEP: Duration = Duration::from_millis(10);
-const STEPS_A_TOKEN: u64 = 2;
-/// Steps between two tellings.
-const TELLING: u64 = 30;
-/// A caller whose answer hasn't begun by then goes away.
-const PATIENCE: Duration = Duration::from_secs(2);
-/// Time to a first token that callers of streams hope for.
+const STEPS_PER_TOKEN: u64 = 2;
+/// Steps between two reports.
+const REPORT_STEPS: u64 = 30;
+/// Time after which a caller leaves whose answer hasn't begun.
+const CALLER_TIMEOUT: Duration = Duration::from_secs(2);
+/// Target for the time to the first token of streams.
 pub const FIRST_TOKEN_TARGET: Duration = Duration::from_millis(400);
-/// Tokens of an answer.
+/// Tokens of an answer, by class.
 const STREAM_TOKENS: u32 = 150;
 const DRAFT_TOKENS: u32 = 40;
 
-/// A site.
+/// Numbers of nodes, of engines, and of slots of each engine.
 #[derive(Clone, Copy)]
 pub struct Site {
     pub nodes: usize,
@@ -33,7 +33,7 @@
     pub slots: u32,
 }
 
-/// Requests a second, over the whole site, from some second on.
+/// Requests a second over the whole site, from a second of the simulation on.
 #[derive(Clone, Copy)]
 pub struct Load {
     pub from: u64,
@@ -41,16 +41,17 @@
     pub drafts: f64,
 }
 
-/// What became of the requests of a class.
+/// Outcomes of the requests of a class.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Count {
     pub sent: u32,
+    /// Requests whose answer began.
     pub started: u32,
-    /// Those of them that began later than [`FIRST_TOKEN_TARGET`].
+    /// Those of them whose answer began later than [`FIRST_TOKEN_TARGET`].
     pub late: u32,
-    /// Their callers went away before the answer began.
+    /// Requests whose callers left before the answer began.
     pub abandoned: u32,
-    /// Longest time to a first token.
+    /// Longest time to the first token.
     pub longest_first_token: Duration,
 }
 
@@ -59,9 +60,11 @@
     node: usize,
     job: ids::Job,
     class: usize,
+    /// Step at which it was sent.
     arrived: u64,
-    /// Steps in which its prompt has still to be read.
-    reads: f64,
+    /// Steps of prefill that are left.
+    prefill: f64,
+    /// Tokens of the answer that are left.
     tokens: u32,
 }
 
@@ -82,12 +85,13 @@
 }
 
 impl Fleet {
-    pub fn new(site: Site, seed: u64, without: Option<Mechanism>) -> Self {
+    pub fn new(site: Site, seed: u64, disabled: Option<Mechanism>) -> Self {
         let mut nodes: Vec<_> =
             (0..site.nodes).map(|_| fixture_with_engines(site.engines, site.slots)).collect();
         for node in &mut nodes {
             let scheduler = std::mem::take(&mut node.scheduler);
-            node.scheduler = without.into_iter().fold(scheduler, |all, one| all.with_disabled(one));
+            node.scheduler =
+                disabled.into_iter().fold(scheduler, |all, one| all.with_disabled(one));
         }
         let now = nodes[0].now;
         nodes.iter_mut().for_each(|node| node.now = now);
@@ -96,18 +100,19 @@
         Fleet { site, nodes, engines, counts: Default::default(), rng, step: 0 }
     }
 
-    /// Plays for so many seconds; `loads` in the order of their beginnings.
+    /// Simulates so many seconds; `loads` are in the order of their start, the first of which must be 0.
     pub fn run(&mut self, seconds: u64, loads: &[Load]) {
-        let steps_a_second = Duration::from_secs(1).as_millis() / STEP.as_millis();
-        for _ in 0..u128::from(seconds) * steps_a_second {
-            let second = self.step / steps_a_second as u64;
-            let load = loads.iter().rfind(|load| load.from <= second).expect("a load from 0 on");
+        let steps_per_second = Duration::from_secs(1).as_millis() / STEP.as_millis();
+        for _ in 0..u128::from(seconds) * steps_per_second {
+            let second = self.step / steps_per_second as u64;
+            let load =
+                loads.iter().rfind(|load| load.from <= second).expect("a load that starts at 0");
             for (class, rate) in [(0, load.streams), (DRAFT, load.drafts)] {
-                self.arrive(class, rate / steps_a_second as f64);
+                self.arrive(class, rate / steps_per_second as f64);
             }
-            self.serve();
-            if self.step.is_multiple_of(TELLING) {
-                self.tell();
+            self.run_engines();
+            if self.step.is_multiple_of(REPORT_STEPS) {
+                self.exchange_reports();
             }
             self.step += 1;
             self.nodes.iter_mut().for_each(|node| node.now += STEP);
@@ -132,20 +137,20 @@
         node.scheduler.poll(node.now, &mut actions);
         for action in actions {
             let Action::Send { job, server } = action else { continue };
-            let reads = tokens / f64::from(PREFILL_RATE) / STEP.as_secs_f64();
+            let prefill = tokens / f64::from(PREFILL_RATE) / STEP.as_secs_f64();
             let tokens = if class == DRAFT { DRAFT_TOKENS } else { STREAM_TOKENS };
-            let run = Run { node: index, job, class, arrived: self.step, reads, tokens };
+            let run = Run { node: index, job, class, arrived: self.step, prefill, tokens };
             self.engines.get_mut(&server).unwrap().waiting.push(run);
             self.counts[class].sent += 1;
         }
     }
 
-    /// One step of all engines.
-    fn serve(&mut self) {
+    /// Runs one step of all engines.
+    fn run_engines(&mut self) {
         let (slots, step) = (self.site.slots as usize, self.step);
         for engine in self.engines.values_mut() {
-            let gone = |run: &Run| STEP * (step - run.arrived) as u32 > PATIENCE;
-            for run in engine.waiting.extract_if(.., |run| gone(run)) {
+            let timed_out = |run: &Run| STEP * (step - run.arrived) as u32 > CALLER_TIMEOUT;
+            for run in engine.waiting.extract_if(.., |run| timed_out(run)) {
                 self.counts[run.class].abandoned += 1;
                 let node = &mut self.nodes[run.node];
                 node.scheduler.attempt_ended(run.job, Ending::Cancelled, node.now);
@@ -153,17 +158,17 @@
             engine.waiting.sort_by_key(|run| (run.class, run.arrived));
             let free = slots.saturating_sub(engine.running.len()).min(engine.waiting.len());
             engine.running.extend(engine.waiting.drain(..free));
-            let mut time = 1.0;
+            let mut time_left = 1.0;
             for run in &mut engine.running {
-                let reads = run.reads.min(time);
-                (run.reads, time) = (run.reads - reads, time - reads);
+                let spent = run.prefill.min(time_left);
+                (run.prefill, time_left) = (run.prefill - spent, time_left - spent);
             }
-            let reads = time < 1.0;
-            for run in engine.running.iter_mut().filter(|run| run.reads <= 0.0) {
+            let prefilling = time_left < 1.0;
+            for run in engine.running.iter_mut().filter(|run| run.prefill <= 0.0) {
                 let first =
                     run.tokens == if run.class == DRAFT { DRAFT_TOKENS } else { STREAM_TOKENS };
-                // An engine that reads makes no tokens meanwhile.
-                if !first && (reads || !step.is_multiple_of(STEPS_A_TOKEN)) {
+                // An engine produces no tokens for running streams while it prefills a prompt.
+                if !first && (prefilling || !step.is_multiple_of(STEPS_PER_TOKEN)) {
                     continue;
                 }
                 let node = &mut self.nodes[run.node];
@@ -184,15 +189,15 @@
         }
     }
 
-    /// Each node hears of all others.
-    fn tell(&mut self) {
-        let told: Vec<(Vec<Backlog>, Vec<f64>)> = self
+    /// Gives each node the reports of all others.
+    fn exchange_reports(&mut self) {
+        let reports: Vec<(Vec<Backlog>, Vec<f64>)> = self
             .nodes
             .iter()
             .map(|node| (node.scheduler.backlogs(node.now), node.scheduler.send_rates(node.now)))
             .collect();
         for (index, node) in self.nodes.iter_mut().enumerate() {
-            let others = told.iter().enumerate().filter(|(other, _)| *other != index);
+            let others = reports.iter().enumerate().filter(|(other, _)| *other != index);
             let mut sums: BTreeMap<ids::Server, Backlog> = BTreeMap::new();
             let mut sends = vec![];
             for (_, (loads, rates)) in others {
@@ -213,12 +218,13 @@
     }
 }
 
-/// Nothing is told of an engine.
+/// A backlog without any requests.
 pub fn empty_backlog(server: ids::Server) -> Backlog {
     Backlog { server, ..Backlog::default() }
 }
 
-fn merge(held: &mut Vec<f64>, more: &[f64], by: impl Fn(f64, f64) -> f64) {
-    held.resize(held.len().max(more.len()), 0.0);
-    held.iter_mut().zip(more).for_each(|(held, more)| *held = by(*held, *more));
+/// Combines the amounts of `more` into those of `into`, priority by priority.
+fn merge(into: &mut Vec<f64>, more: &[f64], combine: impl Fn(f64, f64) -> f64) {
+    into.resize(into.len().max(more.len()), 0.0);
+    into.iter_mut().zip(more).for_each(|(into, more)| *into = combine(*into, *more));
 }
--- a/components/policy/tests/common/mod.rs
+++ b/components/policy/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! A scheduler with three tiers, a few workspaces and servers, for tests and the bench.
-#![allow(dead_code, reason = "each test uses its part")]
+//! A scheduler with three tiers, a few workspaces and servers, for tests and the benchmark.
+#![allow(dead_code, reason = "each test uses some of it")]
 
 pub mod fleet;
 pub mod prompts;
@@ -56,7 +56,7 @@
 }
 
 impl Fixture {
-    /// Three classes, one for each tier.
+    /// A scheduler with three classes, one for each tier, whose queues have the length `queue`.
     pub fn new(workspaces: usize, servers: usize, slots: u32, queue: usize) -> Self {
         let mut scheduler = Scheduler::with_seed(1);
         let classes = new_keys(3);
@@ -81,7 +81,7 @@
         Fixture { scheduler, classes, workspaces, servers, model, now: Instant::now() }
     }
 
-    pub fn request(&self, class: usize, workspace: usize, useful: Duration) -> Request {
+    pub fn request(&self, class: usize, workspace: usize, timeout: Duration) -> Request {
         Request {
             class: self.classes[class],
             workspace: self.workspaces[workspace],
@@ -91,7 +91,7 @@
             shared: vec![],
             max_tokens: Some(100),
             arrived: self.now,
-            deadline: self.now + useful,
+            deadline: self.now + timeout,
             idempotent: class != 1,
             region: ids::Region::default(),
         }
--- a/components/policy/tests/common/prompts.rs
+++ b/components/policy/tests/common/prompts.rs
@@ -1,5 +1,5 @@
-//! Engines whose reading is known, for tests: eight of them, steady streams, and drafts that share long
-//! beginnings.
+//! Engines with a known prefill rate, for tests, and two kinds of requests: steady streams, and drafts that
+//! share long prompt prefixes.
 
 use std::time::Duration;
 
@@ -7,9 +7,10 @@
 
 use super::{Fixture, class, server};
 
-/// Tokens that an engine of the tests reads in a second.
+/// Prompt tokens that an engine of the tests prefills in a second.
 pub const PREFILL_RATE: u32 = 75_000;
 pub const ENGINES: usize = 8;
+/// Indices of the classes.
 pub const STEADY: usize = 0;
 pub const DRAFT: usize = 2;
 
@@ -17,10 +18,10 @@
     fixture_with_engines(ENGINES, 128)
 }
 
-/// A node before so many engines with so many places each.
+/// A node with so many engines of so many slots each.
 pub fn fixture_with_engines(count: usize, slots: u32) -> Fixture {
     let mut fixture = Fixture::new(1, count, slots, 1_000);
-    // As a node before engines that queue by themselves: nothing is given up by its forecast.
+    // As on a node whose engines have queues of their own: no request is refused because of a forecast.
     fixture.scheduler = std::mem::take(&mut fixture.scheduler)
         .with_disabled(Mechanism::DeadlineFit)
         .with_disabled(Mechanism::EarlyRefusal)
@@ -32,9 +33,9 @@
         };
         fixture.scheduler.set_server(*key, terms);
     }
-    for (index, bears) in [(STEADY, 60), (1, 100), (DRAFT, 250)] {
+    for (index, interval_ms) in [(STEADY, 60), (1, 100), (DRAFT, 250)] {
         let target = Duration::from_millis(if index == DRAFT { 1_500 } else { 400 });
-        let interval = Duration::from_millis(bears);
+        let interval = Duration::from_millis(interval_ms);
         let terms =
             Class { first_token: target, token_interval: interval, ..class(index as u8, 1_000) };
         fixture.scheduler.set_class(fixture.classes[index], terms);
@@ -42,20 +43,20 @@
     fixture
 }
 
-/// A request of a class and session; drafts share a long beginning.
+/// A request of a class and session; the drafts of a session share a long prefix.
 pub fn request(fixture: &Fixture, class: usize, session: u64) -> Request {
     let (prompt, shared) = if class == DRAFT { (9_000, 6_000) } else { (700, 150) };
     Request {
         prefix: session,
         prompt_tokens: prompt,
-        // A part is one of a class: drafts and streams begin differently.
+        // Drafts and streams of one session have different prefixes.
         shared: vec![Part { id: session * 3 + class as u64, tokens: shared }],
         max_tokens: None,
         ..fixture.request(class, 0, Duration::from_secs(6))
     }
 }
 
-/// Submits a request; returns it and where it went.
+/// Submits a request; returns its key and the server to which it was sent.
 pub fn send(fixture: &mut Fixture, class: usize, session: u64) -> (ids::Job, ids::Server) {
     let request = request(fixture, class, session);
     let job = fixture.scheduler.submit(request, fixture.now);
@@ -65,17 +66,17 @@
         Action::Send { job: sent, server } if *sent == job => Some(*server),
         _ => None,
     });
-    (job, sent.expect("engines have room"))
+    (job, sent.expect("engines have free slots"))
 }
 
-/// Serves a request whole; its first token comes after `first`.
-pub fn complete(fixture: &mut Fixture, job: ids::Job, first: Duration) {
-    fixture.now += first;
+/// Completes a request whose first token comes after `first_token`.
+pub fn complete(fixture: &mut Fixture, job: ids::Job, first_token: Duration) {
+    fixture.now += first_token;
     fixture.scheduler.record_tokens(job, 4, fixture.now);
     fixture.scheduler.attempt_ended(job, Ending::Completed, fixture.now);
 }
 
-/// Lets both kinds of work be known.
+/// Serves requests of both kinds, so that the scheduler knows their cost.
 pub fn warm_up(fixture: &mut Fixture) {
     for session in 0..200 {
         for class in [STEADY, DRAFT] {
@@ -85,19 +86,19 @@
     }
 }
 
-/// Lets engines take over prompts from each other, some hundred times as fast as they read.
+/// Lets engines fetch cached prefixes from each other, over sixty times as fast as they prefill.
 pub fn enable_fetch(fixture: &mut Fixture) {
-    let way = Fetch { tokens_per_second: 5_000_000.0, setup: Duration::from_millis(5) };
+    let fetch = Fetch { tokens_per_second: 5_000_000.0, setup: Duration::from_millis(5) };
     for key in fixture.servers.clone() {
-        fixture.scheduler.set_fetch(key, Some(way));
+        fixture.scheduler.set_fetch(key, Some(fetch));
     }
 }
 
-/// Other nodes have so many seconds of prompts at an engine.
-pub fn report_peer_backlog(fixture: &mut Fixture, server: ids::Server, seconds: f64, overdue: f64) {
-    let by_rank = |seconds| vec![0.0, 0.0, seconds];
-    let (reading, overdue) = (by_rank(seconds), by_rank(overdue));
-    let backlog =
-        Backlog { server, prefill: reading, overdue, occupied: vec![], since_first_token: None };
+/// Reports that other nodes have so many seconds of prefill queued at an engine, in the lowest priority, and
+/// by how many seconds one of their requests there is overdue.
+pub fn report_peer_backlog(fixture: &mut Fixture, server: ids::Server, prefill: f64, overdue: f64) {
+    let by_priority = |seconds| vec![0.0, 0.0, seconds];
+    let (prefill, overdue) = (by_priority(prefill), by_priority(overdue));
+    let backlog = Backlog { server, prefill, overdue, occupied: vec![], since_first_token: None };
     fixture.scheduler.set_backlogs(&[backlog], fixture.now);
 }
