--- a/components/forward/src/answer.rs
+++ b/components/forward/src/answer.rs
@@ -1,93 +1,95 @@
-//! Answers of the router's own.
+//! Error responses that the proxy itself sends to callers when it has no answer from a server.
 
 use std::time::Duration;
 
 use actix_http::body::BoxBody;
 use actix_http::{Response, StatusCode};
 
-/// What the router answers.
+/// A response of any of the node's listeners.
 pub(crate) type Answer = Response<BoxBody>;
 
-/// Why a request has no answer of a server. The message names the remedy.
+/// Why a request has no answer from a server. The message tells the caller what to do.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum Error {
     #[error("the request can't be read ({0})")]
     Malformed(String),
     #[error("no route serves this host and path; check both")]
-    Route,
+    NoRoute,
     #[error("no workspace has this key; send a key from your operator")]
-    Key,
+    UnknownKey,
     #[error("the head is over {0} bytes; send fewer or shorter headers")]
-    Head(usize),
+    HeadTooLarge(usize),
     #[error("the body is over {0} bytes; send a shorter one")]
-    Large(usize),
+    BodyTooLarge(usize),
     #[error("the body didn't come whole in time; send it without pauses")]
-    Slow,
+    BodyTimeout,
     #[error("this node can't tell what is in force; send the request again, it wasn't run")]
-    Stale,
+    SettingsTooOld,
     #[error("this node holds as much as it can; send the request again, it wasn't run")]
-    Full,
-    #[error("the request wasn't run ({reason}); send it again after {} ms", .again.as_millis())]
-    Refused { reason: &'static str, again: Duration },
+    NodeFull,
+    #[error("the request wasn't run ({reason}); send it again after {} ms", .retry_after.as_millis())]
+    Refused { reason: &'static str, retry_after: Duration },
     #[error("no whole answer came; the request may have run")]
     Unknown,
     #[error("no answer came in time; the request may have run")]
-    Late,
+    TimedOut,
 }
 
-/// When a request that a node couldn't take is worth another try: at once, since the balancer
-/// brings it to another node.
-const SOON: Duration = Duration::from_millis(20);
+/// When to retry a request that this node couldn't accept: almost at once, since the load balancer
+/// sends it to another node.
+const RETRY_ELSEWHERE: Duration = Duration::from_millis(20);
 
 impl Error {
-    /// 408, 421, 429 and 503 promise that nothing ran and nothing will; the others don't.
+    /// 408, 421, 429 and 503 guarantee that the request didn't run and won't; the others don't.
     pub(crate) fn status(&self) -> StatusCode {
         match self {
             Error::Malformed(_) => StatusCode::BAD_REQUEST,
-            Error::Route => StatusCode::NOT_FOUND,
-            Error::Key => StatusCode::UNAUTHORIZED,
-            Error::Head(_) => StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE,
-            Error::Large(_) => StatusCode::PAYLOAD_TOO_LARGE,
-            Error::Slow => StatusCode::REQUEST_TIMEOUT,
-            Error::Stale | Error::Full | Error::Refused { .. } => StatusCode::SERVICE_UNAVAILABLE,
+            Error::NoRoute => StatusCode::NOT_FOUND,
+            Error::UnknownKey => StatusCode::UNAUTHORIZED,
+            Error::HeadTooLarge(_) => StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE,
+            Error::BodyTooLarge(_) => StatusCode::PAYLOAD_TOO_LARGE,
+            Error::BodyTimeout => StatusCode::REQUEST_TIMEOUT,
+            Error::SettingsTooOld | Error::NodeFull | Error::Refused { .. } => {
+                StatusCode::SERVICE_UNAVAILABLE
+            }
             Error::Unknown => StatusCode::BAD_GATEWAY,
-            Error::Late => StatusCode::GATEWAY_TIMEOUT,
+            Error::TimedOut => StatusCode::GATEWAY_TIMEOUT,
         }
     }
 
-    /// Word for it in logs and metrics.
-    pub(crate) fn word(&self) -> &'static str {
+    /// Name of the error in logs and metrics.
+    pub(crate) fn as_str(&self) -> &'static str {
         match self {
             Error::Malformed(_) => "malformed",
-            Error::Route => "no-route",
-            Error::Key => "no-key",
-            Error::Head(_) => "head-too-large",
-            Error::Large(_) => "body-too-large",
-            Error::Slow => "body-too-slow",
-            Error::Stale => "settings-too-old",
-            Error::Full => "node-full",
+            Error::NoRoute => "no-route",
+            Error::UnknownKey => "no-key",
+            Error::HeadTooLarge(_) => "head-too-large",
+            Error::BodyTooLarge(_) => "body-too-large",
+            Error::BodyTimeout => "body-too-slow",
+            Error::SettingsTooOld => "settings-too-old",
+            Error::NodeFull => "node-full",
             Error::Refused { reason, .. } => reason,
             Error::Unknown => "unknown",
-            Error::Late => "no-answer-in-time",
+            Error::TimedOut => "no-answer-in-time",
         }
     }
 
-    /// When to come back, where nothing ran.
-    fn again(&self) -> Option<Duration> {
+    /// Delay before a retry, if the request didn't run.
+    fn retry_after(&self) -> Option<Duration> {
         match self {
-            Error::Refused { again, .. } => Some(*again),
-            Error::Stale | Error::Full => Some(SOON),
+            Error::Refused { retry_after, .. } => Some(*retry_after),
+            Error::SettingsTooOld | Error::NodeFull => Some(RETRY_ELSEWHERE),
             _ => None,
         }
     }
 
-    /// The answer that tells of it.
-    pub(crate) fn answer(&self) -> Answer {
+    /// The response to the caller.
+    pub(crate) fn response(&self) -> Answer {
         let body = serde_json::json!({"error": {"message": self.to_string()}});
         let mut response = Response::build(self.status());
         response.insert_header(("content-type", "application/json"));
-        if let Some(again) = self.again() {
-            response.insert_header(("retry-after", format!("{:.3}", again.as_secs_f64())));
+        if let Some(retry_after) = self.retry_after() {
+            response.insert_header(("retry-after", format!("{:.3}", retry_after.as_secs_f64())));
         }
         response.body(body.to_string()).map_into_boxed_body()
     }
--- a/components/forward/src/attempt.rs
+++ b/components/forward/src/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt at one backend server.
+//! Sends one attempt of a request to one backend server and receives the start of its answer.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -13,167 +13,176 @@
 use policy::Ending;
 
 use crate::adapter::{Adapter, Attempt, ServerProtocol, StatedLimit, Verdict};
-use crate::events::{Disorder, Scan};
-use crate::intake::Job;
+use crate::events::{OutOfOrder, Splitter};
+use crate::intake::Received;
 use crate::limits;
 use crate::mechanism::Mechanism;
 use crate::state::State;
 
-/// Time to connect to a server. One that is there answers within a round trip of a few tens of
+/// Time to connect to a server. A running one accepts within a round trip of a few tens of
 /// milliseconds; nothing was sent yet, so another server can be tried at once.
-const CONNECT: Duration = Duration::from_millis(300);
-/// Answers to other requests that are read past on one connection.
-const CROSSED: u32 = 2;
-/// Bytes of an answer that are held back until all of it came, so that a server which breaks it off
-/// can still be replaced by another. A longer one is passed on as it comes.
-const WHOLE: usize = 256 << 10;
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
+/// Mismatched responses that are skipped on one connection.
+const MAX_MISMATCHED: u32 = 2;
+/// Largest answer that is buffered until it is complete, so that the request can still be retried at
+/// another server if it is interrupted. A larger one is passed on as it arrives.
+const MAX_BUFFERED_BYTES: usize = 256 << 10;
 
 /// Why an attempt brought no answer.
 #[derive(Debug, thiserror::Error)]
-pub(crate) enum Trouble {
+pub(crate) enum AttemptError {
     /// No connection was made.
-    #[error("no connection ({0})")]
+    #[error("can't connect to the server ({0})")]
     Unreached(String),
     /// Another server has the address.
     #[error("another server has its address now")]
     Misdirected,
-    /// The server says that it ran nothing.
-    #[error("it declined with status {0}")]
+    /// The server states that it didn't run the request.
+    #[error("the server declined with status {0}")]
     Declined(u16),
-    /// It may have run.
+    /// The connection broke or the response is invalid; the request may have run.
     #[error("{0}")]
     Lost(String),
-    /// Its events aren't those of one answer, so no other server can go on with it.
-    #[error("its events are out of order: {0}")]
-    Disorder(Disorder),
-    /// It ran, and the server answered that it failed.
-    #[error("it failed with status {}", .0.status.as_u16())]
-    Failed(Box<Whole>),
-    /// The time for an answer passed.
+    /// The events aren't those of one answer, so no other server can continue it.
+    #[error("the events of the answer are out of order: {0}")]
+    OutOfOrder(OutOfOrder),
+    /// The request ran, and the server responded with an error.
+    #[error("the server failed with status {}", .0.status.as_u16())]
+    ServerError(Box<WholeReply>),
+    /// No answer came in time; the request may have run.
     #[error("no answer in time")]
-    Late,
+    TimedOut,
 }
 
-impl Trouble {
-    /// Proof that nothing ran, if there is.
+impl AttemptError {
+    /// Proof that the attempt didn't run, if there is one.
     pub(crate) fn unsent(&self) -> Option<Unsent> {
         match self {
-            Trouble::Unreached(_) | Trouble::Misdirected | Trouble::Declined(_) => {
+            AttemptError::Unreached(_) | AttemptError::Misdirected | AttemptError::Declined(_) => {
                 Some(Unsent::vouch())
             }
-            Trouble::Lost(_) | Trouble::Disorder(_) | Trouble::Failed(_) | Trouble::Late => None,
+            AttemptError::Lost(_)
+            | AttemptError::OutOfOrder(_)
+            | AttemptError::ServerError(_)
+            | AttemptError::TimedOut => None,
         }
     }
 
+    /// How the attempt ended, for the scheduler.
     pub(crate) fn ending(&self) -> Ending {
         match self {
-            Trouble::Unreached(_) | Trouble::Misdirected => Ending::Unreached,
-            Trouble::Declined(_) => Ending::NotRun,
-            Trouble::Failed(_) => Ending::ServerError,
-            Trouble::Lost(_) | Trouble::Disorder(_) | Trouble::Late => Ending::Failed,
+            AttemptError::Unreached(_) | AttemptError::Misdirected => Ending::Unreached,
+            AttemptError::Declined(_) => Ending::NotRun,
+            AttemptError::ServerError(_) => Ending::ServerError,
+            AttemptError::Lost(_) | AttemptError::OutOfOrder(_) | AttemptError::TimedOut => {
+                Ending::Failed
+            }
         }
     }
 }
 
-/// A whole answer.
+/// A complete answer.
 #[derive(Debug)]
-pub(crate) struct Whole {
+pub(crate) struct WholeReply {
     pub(crate) status: StatusCode,
     pub(crate) headers: HeaderMap,
     pub(crate) body: Bytes,
 }
 
-/// The start of an answer that may be passed on.
-pub(crate) enum Start {
-    /// All of it.
-    Whole(Whole),
+/// An answer that may be passed on to the caller.
+pub(crate) enum Reply {
+    /// It is complete.
+    Whole(WholeReply),
     /// The rest follows.
-    Passing(Box<Source>),
+    Partial(Box<PartialReply>),
 }
 
-/// An answer under way.
-pub(crate) struct Source {
+/// An answer whose body is still being received.
+pub(crate) struct PartialReply {
     pub(crate) status: StatusCode,
     pub(crate) headers: HeaderMap,
     address: String,
-    idle: Option<Duration>,
+    /// How long the server keeps the connection open while idle, if it stated that.
+    keep_alive: Option<Duration>,
     body: Body,
-    /// Splits it into events, if it is a stream of them.
-    scan: Option<Scan>,
-    /// What came before it was passed on.
-    first: Option<Part>,
+    /// Splits the body into events, if it is a stream of them.
+    splitter: Option<Splitter>,
+    /// Chunk that was read before the answer was passed on.
+    first: Option<Chunk>,
     ended: bool,
 }
 
-/// A part of an answer.
-pub(crate) struct Part {
+/// A chunk of an answer.
+pub(crate) struct Chunk {
     pub(crate) bytes: Bytes,
-    /// Events in it.
+    /// Number of events in it; 1 if the answer isn't a stream.
     pub(crate) events: u32,
 }
 
-impl Source {
-    /// Id of the last event that was passed on, or will be with the part at hand.
-    pub(crate) fn last(&self) -> Option<u64> {
-        self.scan.as_ref().and_then(Scan::last)
+impl PartialReply {
+    /// Id of the last event that [`PartialReply::next_chunk`] returned or will return next.
+    pub(crate) fn last_event_id(&self) -> Option<u64> {
+        self.splitter.as_ref().and_then(Splitter::last_id)
     }
 
-    /// The next part; none at the true end of the answer.
-    pub(crate) async fn next(&mut self) -> Result<Option<Part>, Trouble> {
+    /// The next chunk; none after the regular end of the answer.
+    pub(crate) async fn next_chunk(&mut self) -> Result<Option<Chunk>, AttemptError> {
         if let Some(first) = self.first.take() {
             return Ok(Some(first));
         }
-        let lost = |cause: link::Error| Trouble::Lost(cause.to_string());
+        let lost = |cause: link::Error| AttemptError::Lost(cause.to_string());
         while !self.ended {
             let Some(bytes) = self.body.next().await.map_err(lost)? else {
                 self.ended = true;
-                let rest = self.scan.as_mut().map(Scan::rest).unwrap_or_default();
-                return Ok((!rest.is_empty()).then_some(Part { bytes: rest, events: 0 }));
+                let rest = self.splitter.as_mut().map(Splitter::take_remainder).unwrap_or_default();
+                return Ok((!rest.is_empty()).then_some(Chunk { bytes: rest, events: 0 }));
+            };
+            let Some(splitter) = &mut self.splitter else {
+                return Ok(Some(Chunk { bytes, events: 1 }));
             };
-            let Some(scan) = &mut self.scan else { return Ok(Some(Part { bytes, events: 1 })) };
-            let piece = scan.push(&bytes).map_err(Trouble::Disorder)?;
-            if let Some(piece) = piece {
-                return Ok(Some(Part { bytes: piece.bytes, events: piece.events }));
+            let batch = splitter.push(&bytes).map_err(AttemptError::OutOfOrder)?;
+            if let Some(batch) = batch {
+                return Ok(Some(Chunk { bytes: batch.bytes, events: batch.events }));
             }
         }
         Ok(None)
     }
 
-    /// Keeps the connection, once the answer has ended.
-    pub(crate) fn keep<A: Adapter>(self, state: &State<A>) {
+    /// Returns the connection to the pool if the answer has ended regularly.
+    pub(crate) fn release_connection<A: Adapter>(self, state: &State<A>) {
         if self.ended {
-            state.pool.put(&self.address, self.body, self.idle);
+            state.pool.put(&self.address, self.body, self.keep_alive);
         }
     }
 }
 
-/// Sends a request to a server and waits for the first of its answer that a caller can be given.
-/// Until then nothing is promised to the caller, and another attempt may follow.
-pub(crate) async fn ask<A: Adapter>(
+/// Sends a request to a server and waits for its answer, or the start of one that is passed on as it
+/// arrives. Until this returns, the caller has received nothing, and another attempt may follow.
+pub(crate) async fn send<A: Adapter>(
     state: &Rc<State<A>>,
-    job: &Job,
+    received: &Received,
     server: &Entry,
-    after: Option<u64>,
-    fetch: Option<Rc<Entry>>,
-) -> Result<Start, Trouble> {
+    last_event_id: Option<u64>,
+    fetch_from: Option<Rc<Entry>>,
+) -> Result<Reply, AttemptError> {
     let link = match state.pool.take(&server.address) {
         Some(link) => link,
         None => {
             state.metrics.connected();
-            let link = Link::connect(&server.address, CONNECT).await;
-            link.map_err(|cause| Trouble::Unreached(cause.to_string()))?
+            let link = Link::connect(&server.address, CONNECT_TIMEOUT).await;
+            link.map_err(|cause| AttemptError::Unreached(cause.to_string()))?
         }
     };
-    let head = outgoing(state, job, server, after, fetch);
+    let head = request_head(state, received, server, last_event_id, fetch_from);
     let sent = state.clock.now();
-    let lost = |cause: link::Error| Trouble::Lost(cause.to_string());
-    let (mut head, mut body) = link.exchange(head, job.body.clone()).await.map_err(lost)?;
-    let mut crossed = 0;
+    let lost = |cause: link::Error| AttemptError::Lost(cause.to_string());
+    let (mut head, mut body) = link.exchange(head, received.body.clone()).await.map_err(lost)?;
+    let mut mismatched = 0;
     loop {
-        let verdict = state.adapter.servers.check_response(&head, &job.call, server);
+        let verdict = state.adapter.servers.check_response(&head, &received.call, server);
         if matches!(verdict, Verdict::Answer | Verdict::Declined) {
             let limit = state.adapter.servers.rate_limit(&head);
-            // What a server says that runs nothing, or fails, needn't name its limit.
+            // A server that declines or fails may omit its limit; that doesn't lift a limit stated before.
             if limit != StatedLimit::Unspecified || head.status.is_success() {
                 limits::record_answer(state, server, &limit, sent);
             }
@@ -182,117 +191,126 @@
             Verdict::Answer => break,
             Verdict::Declined => {
                 let status = head.status.as_u16();
-                drain(state, server, &head, body).await;
-                return Err(Trouble::Declined(status));
+                discard_body(state, server, &head, body).await;
+                return Err(AttemptError::Declined(status));
             }
-            Verdict::Misdirected => return Err(Trouble::Misdirected),
-            Verdict::Invalid(cause) => return Err(Trouble::Lost(cause)),
-            Verdict::Mismatched if crossed < CROSSED => {
-                crossed += 1;
+            Verdict::Misdirected => return Err(AttemptError::Misdirected),
+            Verdict::Invalid(cause) => return Err(AttemptError::Lost(cause)),
+            Verdict::Mismatched if mismatched < MAX_MISMATCHED => {
+                mismatched += 1;
                 state.metrics.crossed();
                 while body.next().await.map_err(lost)?.is_some() {}
                 (head, body) = body.further().await.map_err(lost)?;
             }
-            Verdict::Mismatched => return Err(Trouble::Lost("it answers other requests".into())),
+            Verdict::Mismatched => {
+                return Err(AttemptError::Lost("the server responds to other requests".into()));
+            }
         }
     }
-    begin(state, job, server, head, body, after).await
+    receive_reply(state, received, server, head, body, last_event_id).await
 }
 
-/// The answer begins.
-async fn begin<A: Adapter>(
+/// Receives an answer whose head was accepted: the first events of a stream, or the whole of any other
+/// answer up to [`MAX_BUFFERED_BYTES`].
+async fn receive_reply<A: Adapter>(
     state: &Rc<State<A>>,
-    job: &Job,
+    received: &Received,
     server: &Entry,
     head: ResponseHead,
     body: Body,
-    after: Option<u64>,
-) -> Result<Start, Trouble> {
+    last_event_id: Option<u64>,
+) -> Result<Reply, AttemptError> {
     let media = head.headers.get("content-type").and_then(|value| value.to_str().ok());
     let events = media.is_some_and(|media| media.starts_with("text/event-stream"));
     let success = head.status.is_success();
-    let idle = state.adapter.servers.keep_alive(&head);
-    log::debug!(server = server.name.as_str(), idle:? = idle; "answer begins");
-    let mut source = Source {
+    let keep_alive = state.adapter.servers.keep_alive(&head);
+    log::debug!(server = server.name.as_str(), idle:? = keep_alive; "answer started");
+    let mut reply = PartialReply {
         status: head.status,
         headers: end_to_end_headers(&head.headers),
         address: server.address.clone(),
-        idle,
+        keep_alive,
         body,
-        scan: (success && events).then(|| Scan::after(after)),
+        splitter: (success && events).then(|| Splitter::resuming_after(last_event_id)),
         first: None,
         ended: false,
     };
-    if source.scan.is_some() {
-        source.first = source.next().await?;
-        return Ok(Start::Passing(Box::new(source)));
+    if reply.splitter.is_some() {
+        reply.first = reply.next_chunk().await?;
+        return Ok(Reply::Partial(Box::new(reply)));
     }
-    if success && job.route().kind.streams() {
-        return Err(Trouble::Lost("its answer isn't a stream of events".to_string()));
+    if success && received.route().kind.streams() {
+        return Err(AttemptError::Lost("the answer isn't a stream of events".to_string()));
     }
-    let hold = if state.disabled.is_enabled(Mechanism::AnswerBuffering) { WHOLE } else { 0 };
+    let max_buffered =
+        if state.disabled.is_enabled(Mechanism::AnswerBuffering) { MAX_BUFFERED_BYTES } else { 0 };
     let mut all = BytesMut::new();
-    while let Some(part) = source.next().await? {
-        all.extend_from_slice(&part.bytes);
-        if all.len() > hold {
-            source.first = Some(Part { bytes: all.freeze(), events: 1 });
-            return Ok(Start::Passing(Box::new(source)));
+    while let Some(chunk) = reply.next_chunk().await? {
+        all.extend_from_slice(&chunk.bytes);
+        if all.len() > max_buffered {
+            reply.first = Some(Chunk { bytes: all.freeze(), events: 1 });
+            return Ok(Reply::Partial(Box::new(reply)));
         }
     }
-    let (status, headers) = (source.status, std::mem::take(&mut source.headers));
-    source.keep(state);
-    let whole = Whole { status, headers, body: all.freeze() };
+    let (status, headers) = (reply.status, std::mem::take(&mut reply.headers));
+    reply.release_connection(state);
+    let whole = WholeReply { status, headers, body: all.freeze() };
     if status.is_server_error() {
-        return Err(Trouble::Failed(Box::new(whole)));
+        return Err(AttemptError::ServerError(Box::new(whole)));
     }
-    Ok(Start::Whole(whole))
+    Ok(Reply::Whole(whole))
 }
 
-/// Reads the rest of an answer that says nothing more, so that its connection can be kept.
-async fn drain<A: Adapter>(state: &State<A>, server: &Entry, head: &ResponseHead, mut body: Body) {
-    let idle = state.adapter.servers.keep_alive(head);
+/// Reads and drops the body of a response, so that its connection can be returned to the pool.
+async fn discard_body<A: Adapter>(
+    state: &State<A>,
+    server: &Entry,
+    head: &ResponseHead,
+    mut body: Body,
+) {
+    let keep_alive = state.adapter.servers.keep_alive(head);
     loop {
         match body.next().await {
             Ok(Some(_)) => {}
             Ok(None) => break,
             Err(cause) => {
-                log::debug!(server = server.name.as_str(), cause:% = cause; "connection not kept");
+                log::debug!(server = server.name.as_str(), cause:% = cause; "connection closed, reading the rest of a response failed");
                 return;
             }
         }
     }
-    state.pool.put(&server.address, body, idle);
+    state.pool.put(&server.address, body, keep_alive);
 }
 
-/// The head of an attempt: the method and target that the caller sent, and the headers of the
-/// server's dialect.
-fn outgoing<A: Adapter>(
+/// The request head of an attempt: the caller's method and target, and the adapter's headers.
+fn request_head<A: Adapter>(
     state: &State<A>,
-    job: &Job,
+    received: &Received,
     server: &Entry,
-    after: Option<u64>,
-    fetch: Option<Rc<Entry>>,
+    last_event_id: Option<u64>,
+    fetch_from: Option<Rc<Entry>>,
 ) -> RequestHead {
     let attempt = Attempt {
         server,
-        time_left: job.left(state),
-        workspace: job.found.workspace.as_ref().map(|workspace| workspace.name.as_str()),
-        priority: job.found.urgency(),
-        last_event_id: after,
-        fetch_from: fetch.as_deref(),
+        time_left: received.time_left(state),
+        workspace: received.found.workspace.as_ref().map(|workspace| workspace.name.as_str()),
+        priority: received.found.urgency(),
+        last_event_id,
+        fetch_from: fetch_from.as_deref(),
     };
     let mut head = RequestHead::default();
-    head.method = job.head.method().clone();
-    let target = job.head.uri().path_and_query().cloned();
+    head.method = received.head.method().clone();
+    let target = received.head.uri().path_and_query().cloned();
     head.uri = target.map_or_else(Uri::default, Uri::from);
     head.version = Version::HTTP_11;
-    head.headers = state.adapter.servers.request_headers(job.head.head(), &job.call, &attempt);
+    head.headers =
+        state.adapter.servers.request_headers(received.head.head(), &received.call, &attempt);
     head.set_connection_type(link::connection(false));
     head
 }
 
-/// Headers that concern one connection only; so do those that `connection` names.
-const HOP: [&str; 8] = [
+/// Headers that apply to one connection only, as do those that the `connection` header lists.
+const HOP_BY_HOP: [&str; 8] = [
     "connection",
     "keep-alive",
     "proxy-connection",
@@ -303,14 +321,15 @@
     "content-length",
 ];
 
-/// The headers that a message keeps on its way to the next connection.
+/// The end-to-end headers of a message, without those that apply to one connection only.
 pub fn end_to_end_headers(headers: &HeaderMap) -> HeaderMap {
-    let named = headers.get_all("connection").filter_map(|value| value.to_str().ok());
-    let named: Vec<_> =
-        named.flat_map(|value| value.split(',')).map(|name| name.trim().to_lowercase()).collect();
+    let listed = headers.get_all("connection").filter_map(|value| value.to_str().ok());
+    let listed: Vec<_> =
+        listed.flat_map(|value| value.split(',')).map(|name| name.trim().to_lowercase()).collect();
     let mut kept = HeaderMap::with_capacity(headers.len());
     for (name, value) in headers {
-        let hop = HOP.contains(&name.as_str()) || named.iter().any(|hop| hop == name.as_str());
+        let hop =
+            HOP_BY_HOP.contains(&name.as_str()) || listed.iter().any(|hop| hop == name.as_str());
         if !hop {
             kept.append(name.clone(), value.clone());
         }
--- a/components/forward/src/events.rs
+++ b/components/forward/src/events.rs
@@ -1,48 +1,51 @@
-//! Splits a stream into whole events, so that a part of one never reaches a caller and the stream
-//! can go on elsewhere after the last whole one.
+//! Splits a stream of server-sent events into whole events, so that a caller never receives part of
+//! one and another server can continue the stream after the last whole event.
 
 use bytes::{Bytes, BytesMut};
 use memchr::memmem;
 
 derives::data! {
-    /// Whole events in the order in which they came.
-    pub(crate) struct Piece {
+    /// Consecutive whole events.
+    pub(crate) struct Batch {
+        /// The events, and any comments between them.
         pub(crate) bytes: Bytes,
+        /// Number of events.
         pub(crate) events: u32,
     }
 }
 
-/// An event whose id isn't above the one before it.
+/// An event whose id isn't greater than the one before it.
 #[derive(Debug, thiserror::Error)]
 #[error("event {id} came after event {last}")]
-pub(crate) struct Disorder {
+pub(crate) struct OutOfOrder {
     id: u64,
     last: u64,
 }
 
-/// Reads a stream's bytes.
+/// Splits the bytes of one stream into whole events.
 #[derive(Debug, Default)]
-pub(crate) struct Scan {
+pub(crate) struct Splitter {
+    /// Bytes after the last whole event.
     buf: BytesMut,
-    /// Id of the last whole event.
+    /// Id of the last whole event in this stream.
     last: Option<u64>,
-    /// Events up to this id were passed on already.
-    passed: Option<u64>,
+    /// Events up to this id were already sent to the caller, and are skipped.
+    sent: Option<u64>,
 }
 
-impl Scan {
-    /// Of a stream that goes on after an event.
-    pub(crate) fn after(passed: Option<u64>) -> Self {
-        Scan { buf: BytesMut::new(), last: None, passed }
+impl Splitter {
+    /// For a stream that continues after an event that the caller already has.
+    pub(crate) fn resuming_after(sent: Option<u64>) -> Self {
+        Splitter { buf: BytesMut::new(), last: None, sent }
     }
 
-    /// Id of the last event that was passed on.
-    pub(crate) fn last(&self) -> Option<u64> {
-        self.last.max(self.passed)
+    /// Id of the last event returned by [`Splitter::push`] or sent before.
+    pub(crate) fn last_id(&self) -> Option<u64> {
+        self.last.max(self.sent)
     }
 
-    /// Takes bytes in; returns the events that are whole now.
-    pub(crate) fn push(&mut self, bytes: &[u8]) -> Result<Option<Piece>, Disorder> {
+    /// Appends bytes of the stream; returns the events that are complete now.
+    pub(crate) fn push(&mut self, bytes: &[u8]) -> Result<Option<Batch>, OutOfOrder> {
         self.buf.extend_from_slice(bytes);
         let mut out = BytesMut::new();
         let mut events = 0;
@@ -53,30 +56,31 @@
                 continue;
             };
             if let Some(last) = self.last.filter(|last| id <= *last) {
-                return Err(Disorder { id, last });
+                return Err(OutOfOrder { id, last });
             }
             self.last = Some(id);
-            if self.passed.is_none_or(|passed| id > passed) {
+            if self.sent.is_none_or(|sent| id > sent) {
                 events += 1;
                 out.extend_from_slice(&event);
             }
         }
-        Ok((!out.is_empty()).then(|| Piece { bytes: out.freeze(), events }))
+        Ok((!out.is_empty()).then(|| Batch { bytes: out.freeze(), events }))
     }
 
-    /// What is left at the true end of the stream.
-    pub(crate) fn rest(&mut self) -> Bytes {
+    /// Takes the bytes after the last whole event, once the stream has ended regularly.
+    pub(crate) fn take_remainder(&mut self) -> Bytes {
         self.buf.split().freeze()
     }
 }
 
-/// Where the first event ends: after its empty line.
+/// Length of the first event including the empty line that ends it; none if it is incomplete.
 fn event_end(bytes: &[u8]) -> Option<usize> {
     let plain = memmem::find(bytes, b"\n\n").map(|at| at + 2);
     let crlf = memmem::find(bytes, b"\r\n\r\n").map(|at| at + 4);
     plain.into_iter().chain(crlf).min()
 }
 
+/// The numeric id of an event, if it has one.
 fn event_id(event: &[u8]) -> Option<u64> {
     let lines = event.split(|byte| *byte == b'\n');
     let mut ids = lines.filter_map(|line| line.strip_prefix(b"id:"));
--- a/components/forward/src/operators.rs
+++ b/components/forward/src/operators.rs
@@ -1,4 +1,4 @@
-//! The operators' interface, and the balancer's question whether the node is ready.
+//! Serves the listener for operators: liveness, readiness for the load balancer, metrics and status.
 
 use std::rc::Rc;
 
@@ -8,29 +8,29 @@
 use crate::answer::Answer;
 use crate::state::State;
 
-/// Answers one call.
+/// Answers one request.
 pub(crate) async fn handle<A: Adapter>(state: Rc<State<A>>, request: Request) -> Answer {
     match request.path() {
         "/healthz" => Response::new(StatusCode::OK).map_into_boxed_body(),
         "/readyz" if state.ready() => Response::new(StatusCode::OK).map_into_boxed_body(),
         "/readyz" => Response::new(StatusCode::SERVICE_UNAVAILABLE).map_into_boxed_body(),
-        "/metrics" => text(state.metrics.render()),
-        "/status" => text(status(&state).to_string()),
+        "/metrics" => text_response(state.metrics.render()),
+        "/status" => text_response(status_json(&state).to_string()),
         _ => Response::new(StatusCode::NOT_FOUND).map_into_boxed_body(),
     }
 }
 
-fn text(body: String) -> Answer {
+fn text_response(body: String) -> Answer {
     Response::build(StatusCode::OK).body(body).map_into_boxed_body()
 }
 
-/// What the node believes.
-fn status<A: Adapter>(state: &State<A>) -> serde_json::Value {
+/// The node's settings revision and its view of each server.
+fn status_json<A: Adapter>(state: &State<A>) -> serde_json::Value {
     use clock::Clock;
     let now = state.clock.now();
     let scheduler = state.driver.scheduler.borrow();
-    let names = state.registry.borrow();
-    let servers = names.servers().map(|(key, entry)| {
+    let registry = state.registry.borrow();
+    let servers = registry.servers().map(|(key, entry)| {
         let status = scheduler.status(key, now);
         serde_json::json!({
             "name": entry.name,
@@ -46,7 +46,7 @@
         "node": state.node().name,
         "ready": state.ready(),
         "draining": state.draining.get(),
-        "revision": state.settings.borrow().as_ref().map(|book| book.revision),
+        "revision": state.settings.borrow().as_ref().map(|settings| settings.revision),
         "age_ms": state.proof_age_ms(),
         "held": state.open_requests(),
         "quarantined": state.crashes.quarantine.borrow().blocked_count(now),
--- a/components/forward/src/registry.rs
+++ b/components/forward/src/registry.rs
@@ -1,4 +1,5 @@
-//! Keys of what settings and the list of servers name, and the terms that the decisions work with.
+//! Maps the names in the settings and the list of servers to the scheduler's keys, and registers
+//! servers, classes and workspaces with the scheduler.
 
 use std::collections::{BTreeMap, HashMap};
 use std::rc::Rc;
@@ -9,32 +10,32 @@
 use slotmap::SlotMap;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Every class is served at least once in this time while it waits.
+/// A class with waiting requests is served at least once in this time.
 const LONGEST_WAIT: Duration = Duration::from_secs(2);
-/// Requests of a class that may wait; beyond that memory would go first.
-const QUEUE: usize = 2_000;
+/// Requests of a class that may wait; more would exhaust the node's memory.
+const QUEUE_LIMIT: usize = 2_000;
 
-/// Tokens of prompts that an engine reads in a second, as seen at the users' engines. Only its order
-/// of size matters: it weighs prompts against streams and against the way to another region.
-const READS: u32 = 75_000;
+/// Prompt tokens that an engine prefills per second; corresponds to the users' engines. Only its order
+/// of magnitude matters: it weighs prompts against streams and against the delay to another region.
+const PREFILL_TOKENS_PER_SECOND: u32 = 75_000;
 
-/// Time before the first token that an engine takes over from another: some round trips.
-const SETUP: Duration = Duration::from_millis(5);
+/// Time before an engine receives the first token that it copies from another: some round trips.
+const FETCH_SETUP: Duration = Duration::from_millis(5);
 
-/// A class: requests of one route whose workspaces have one rank.
+/// Route and workspace tier of a class.
 type ClassName = (String, u8);
 
-/// Keys and their names.
+/// Scheduler keys by name, and the entries of the servers.
 #[derive(Default)]
 pub(crate) struct Registry {
     servers: SlotMap<ids::Server, Rc<Entry>>,
     by_name: HashMap<String, ids::Server>,
-    /// By the key of their names, by which nodes tell each other of them.
-    by_key: HashMap<u32, ids::Server>,
-    /// Tokens of prompts that an engine of a service takes over in a second.
-    fetches: HashMap<String, f64>,
+    /// By hash of their names, which identifies them between nodes.
+    by_wire_key: HashMap<u32, ids::Server>,
+    /// Prompt tokens that an engine copies from another per second, by service.
+    fetch_rates: HashMap<String, f64>,
     models: SlotMap<ids::Model, ()>,
-    /// By service, and the model asked for; an empty one stands for all that the service does.
+    /// By service and model; an empty model stands for the service as a whole.
     by_model: HashMap<(String, String), ids::Model>,
     classes: SlotMap<ids::Class, ()>,
     by_class: HashMap<ClassName, ids::Class>,
@@ -47,50 +48,52 @@
 }
 
 impl Registry {
-    /// The server of a key.
+    /// The entry of a server.
     pub(crate) fn server(&self, key: ids::Server) -> Option<&Rc<Entry>> {
         self.servers.get(key)
     }
 
-    /// The server whose name has a key, as by [`wire::key`].
-    pub(crate) fn server_by_wire_key(&self, key: u32) -> Option<ids::Server> {
-        self.by_key.get(&key).copied()
+    /// Key of the server whose name has this hash, see [`wire::key`].
+    pub(crate) fn server_by_wire_key(&self, wire_key: u32) -> Option<ids::Server> {
+        self.by_wire_key.get(&wire_key).copied()
     }
 
-    /// Servers by key.
+    /// All servers with their keys.
     pub(crate) fn servers(&self) -> impl Iterator<Item = (ids::Server, &Rc<Entry>)> {
         self.servers.iter()
     }
 
-    /// The region of a name.
+    /// Key of a region, which is created if it is new.
     pub(crate) fn region(&mut self, name: &str) -> ids::Region {
-        key(&mut self.regions, &mut self.by_region, name)
+        key_or_insert(&mut self.regions, &mut self.by_region, name)
     }
 
-    /// What a request asks for: a service, and a model of it where its servers name models.
+    /// Key of the model that a request needs. If no server of the service lists the model, the key stands
+    /// for the service as a whole.
     pub(crate) fn model(&mut self, service: &str, model: Option<&str>) -> ids::Model {
-        let asked = (service.to_string(), model.unwrap_or_default().to_string());
-        if let Some(known) = self.by_model.get(&asked) {
+        let name = (service.to_string(), model.unwrap_or_default().to_string());
+        if let Some(known) = self.by_model.get(&name) {
             return *known;
         }
         self.model_key(service, "")
     }
 
+    /// Key of a model, which is created if it is new.
     fn model_key(&mut self, service: &str, model: &str) -> ids::Model {
         let name = (service.to_string(), model.to_string());
         *self.by_model.entry(name).or_insert_with(|| self.models.insert(()))
     }
 
-    /// Tells the decisions of a server that came or changed.
+    /// Registers a new or changed server with the scheduler.
     pub(crate) fn set_server(
         &mut self,
         scheduler: &mut Scheduler,
         entry: &Rc<Entry>,
         regions: &BTreeMap<String, String>,
     ) {
-        let born_again = |held: &ids::Server| self.servers[*held].started != entry.started;
-        if self.by_name.get(&entry.name).is_some_and(born_again) {
-            // It holds nothing of before, and what was known of it says nothing any more.
+        let restarted = |key: &ids::Server| self.servers[*key].started != entry.started;
+        if self.by_name.get(&entry.name).is_some_and(restarted) {
+            // Its cache and its requests are gone, and statistics of the previous start don't apply.
             self.remove_server(scheduler, &entry.name);
         }
         let key = match self.by_name.get(&entry.name) {
@@ -103,56 +106,57 @@
         };
         self.servers[key] = entry.clone();
         let region = regions.get(&entry.domain).cloned().unwrap_or_default();
-        let terms = self.terms(entry, &region);
-        self.by_key.insert(wire::key(&entry.name), key);
+        let terms = self.server_terms(entry, &region);
+        self.by_wire_key.insert(wire::key(&entry.name), key);
         scheduler.set_server(key, terms);
     }
 
-    fn terms(&mut self, entry: &Entry, region: &str) -> policy::Server {
+    /// The scheduler's description of a server.
+    fn server_terms(&mut self, entry: &Entry, region: &str) -> policy::Server {
         let mut models = vec![self.model_key(&entry.service, "")];
         models.extend(entry.models.iter().map(|model| self.model_key(&entry.service, model)));
         policy::Server {
             region: self.region(region),
-            domain: self::key(&mut self.domains, &mut self.by_domain, &entry.domain),
+            domain: key_or_insert(&mut self.domains, &mut self.by_domain, &entry.domain),
             salt: xxh3_64(entry.name.as_bytes()),
             slots: entry.slots,
             models,
             leaving: entry.leaving,
             resumes: true,
-            prefill_rate: entry.engine.then_some(READS),
-            fetch: self.fetch(&entry.service),
+            prefill_rate: entry.engine.then_some(PREFILL_TOKENS_PER_SECOND),
+            fetch: self.fetch_terms(&entry.service),
         }
     }
 
-    /// How an engine of a service takes over prompts from others.
-    fn fetch(&self, service: &str) -> Option<policy::Fetch> {
-        let tokens = *self.fetches.get(service)?;
-        Some(policy::Fetch { tokens_per_second: tokens, setup: SETUP })
+    /// How an engine of a service copies cached prompts from others; none if it can't.
+    fn fetch_terms(&self, service: &str) -> Option<policy::Fetch> {
+        let tokens_per_second = *self.fetch_rates.get(service)?;
+        Some(policy::Fetch { tokens_per_second, setup: FETCH_SETUP })
     }
 
-    /// Tells the decisions of a server that is gone.
+    /// Removes a server from the scheduler.
     pub(crate) fn remove_server(&mut self, scheduler: &mut Scheduler, name: &str) {
         let Some(key) = self.by_name.remove(name) else { return };
         self.servers.remove(key);
-        self.by_key.remove(&wire::key(name));
+        self.by_wire_key.remove(&wire::key(name));
         scheduler.remove_server(key);
     }
 
-    /// The class and workspace of a request, made known to the decisions if they are new.
+    /// Keys of a request's class and workspace, which are registered with the scheduler if they are new.
     pub(crate) fn class_and_workspace(
         &mut self,
         scheduler: &mut Scheduler,
-        book: &Book,
+        settings: &Book,
         found: &Found,
     ) -> (ids::Class, ids::Workspace) {
-        let (route, rank) = (&found.route, found.workspace_tier());
-        let name = (route.name.clone(), rank);
+        let (route, tier) = (&found.route, found.workspace_tier());
+        let name = (route.name.clone(), tier);
         let class = match self.by_class.get(&name) {
             Some(class) => *class,
             None => {
                 let key = self.classes.insert(());
                 self.by_class.insert(name, key);
-                scheduler.set_class(key, self::class(route, rank, book));
+                scheduler.set_class(key, class_terms(route, tier, settings));
                 key
             }
         };
@@ -170,19 +174,20 @@
         (class, workspace)
     }
 
-    /// Puts the terms of a new revision in place of the last one's, and forgets what it dropped.
-    pub(crate) fn apply(&mut self, scheduler: &mut Scheduler, book: &Book) {
-        self.apply_fetches(scheduler, book);
+    /// Applies a new revision of the settings: updates the classes, and removes those whose route is
+    /// gone.
+    pub(crate) fn apply_settings(&mut self, scheduler: &mut Scheduler, settings: &Book) {
+        self.apply_fetch_rates(scheduler, settings);
         let routes: HashMap<&str, &Rc<Route>> =
-            book.routes().map(|route| (route.name.as_str(), route)).collect();
-        let mut dropped = vec![];
-        for ((name, rank), key) in &self.by_class {
+            settings.routes().map(|route| (route.name.as_str(), route)).collect();
+        let mut removed = vec![];
+        for ((name, tier), key) in &self.by_class {
             match routes.get(name.as_str()) {
-                Some(route) => scheduler.set_class(*key, class(route, *rank, book)),
-                None => dropped.push((name.clone(), *rank)),
+                Some(route) => scheduler.set_class(*key, class_terms(route, *tier, settings)),
+                None => removed.push((name.clone(), *tier)),
             }
         }
-        for name in dropped {
+        for name in removed {
             if let Some(key) = self.by_class.remove(&name) {
                 self.classes.remove(key);
                 scheduler.remove_class(key);
@@ -192,23 +197,24 @@
 }
 
 impl Registry {
-    /// Tells the decisions how fast engines take over prompts from each other, where that changed.
-    fn apply_fetches(&mut self, scheduler: &mut Scheduler, book: &Book) {
+    /// Updates how fast engines copy cached prompts from each other, if the settings changed it.
+    fn apply_fetch_rates(&mut self, scheduler: &mut Scheduler, settings: &Book) {
         let rate = |(name, service): (&String, &catalog::Service)| {
             Some((name.clone(), service.fetch_tokens?))
         };
-        let fetches: HashMap<_, _> = book.services.iter().filter_map(rate).collect();
-        if fetches == self.fetches {
+        let fetch_rates: HashMap<_, _> = settings.services.iter().filter_map(rate).collect();
+        if fetch_rates == self.fetch_rates {
             return;
         }
-        self.fetches = fetches;
+        self.fetch_rates = fetch_rates;
         for (key, entry) in &self.servers {
-            scheduler.set_fetch(key, self.fetch(&entry.service));
+            scheduler.set_fetch(key, self.fetch_terms(&entry.service));
         }
     }
 }
 
-fn key<K: slotmap::Key>(
+/// Key of a name, which is created if it is new.
+fn key_or_insert<K: slotmap::Key>(
     all: &mut SlotMap<K, ()>,
     by_name: &mut HashMap<String, K>,
     name: &str,
@@ -221,17 +227,18 @@
     key
 }
 
-fn class(route: &Route, rank: u8, book: &Book) -> policy::Class {
-    let service = route.split.first().and_then(|split| book.services.get(&split.service));
-    let event = service.map_or(1, |service| service.event_tokens.max(1));
+/// The scheduler's description of the class of a route's requests from workspaces of one tier.
+fn class_terms(route: &Route, workspace_tier: u8, settings: &Book) -> policy::Class {
+    let service = route.split.first().and_then(|split| settings.services.get(&split.service));
+    let event_tokens = service.map_or(1, |service| service.event_tokens.max(1));
     policy::Class {
-        tier: route.tier_of(rank),
-        priority: route.urgency_of(rank),
+        tier: route.tier_of(workspace_tier),
+        priority: route.urgency_of(workspace_tier),
         weight: 1,
         first_token: route.target,
-        token_interval: route.pause.unwrap_or(route.target) / event,
+        token_interval: route.pause.unwrap_or(route.target) / event_tokens,
         longest_wait: LONGEST_WAIT,
-        queue: QUEUE,
+        queue: QUEUE_LIMIT,
         attempts: route.attempts,
     }
 }
--- a/components/forward/src/serve.rs
+++ b/components/forward/src/serve.rs
@@ -1,4 +1,5 @@
-//! Carries a request from its arrival to its end: waits for a place, sends, passes the answer on.
+//! Serves a request from its arrival to its end: waits for a server, sends attempts, and passes the
+//! answer on.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -13,145 +14,152 @@
 
 use crate::adapter::{Adapter, CallerProtocol};
 use crate::answer::{Answer, Error};
-use crate::attempt::{self, Start, Trouble, Whole};
-use crate::intake::{self, Job};
+use crate::attempt::{self, AttemptError, Reply, WholeReply};
+use crate::intake::{self, Received};
 use crate::state::{OpenRequest, State};
-use crate::stream::{self, Passing};
+use crate::stream::{self, Relay};
 
-/// A server that has begun nothing after so many times the target is given up for another, where
-/// the request may run again. Answers rarely take that long, and as much is left for the next.
-const SILENT: u32 = 2;
+/// A server that hasn't started to answer after this many times the route's target is abandoned for
+/// another, if the request may run again. Answers rarely take that long, and the next server gets as
+/// much time.
+const STALL_TARGETS: u32 = 2;
 
-/// Answers one request. A node that isn't ready ends each connection with its answer, so that
-/// callers who keep theirs open move to other nodes as well.
+/// Answers one request. A node that isn't ready closes each connection after its answer, so that
+/// callers with persistent connections move to other nodes too.
 pub(crate) async fn handle<A: Adapter>(state: Rc<State<A>>, request: Request) -> Answer {
-    let mut answer = take(state.clone(), request).await;
+    let mut answer = receive_and_serve(state.clone(), request).await;
     if !state.ready() {
         answer.head_mut().set_connection_type(ConnectionType::Close);
     }
     answer
 }
 
-async fn take<A: Adapter>(state: Rc<State<A>>, request: Request) -> Answer {
+async fn receive_and_serve<A: Adapter>(state: Rc<State<A>>, request: Request) -> Answer {
     let arrived = state.timestamp();
     let call = state.adapter.callers.parse(request.head());
-    let name = call.as_ref().map_or("", |call| call.id.as_str()).to_string();
+    let id = call.as_ref().map_or("", |call| call.id.as_str()).to_string();
     let path = request.path().to_string();
-    let mut held = state.open_request(&name);
-    let job = match intake::take(&state, request, call, arrived, &mut held).await {
-        Ok(job) => job,
+    let mut open = state.open_request(&id);
+    let received = match intake::receive(&state, request, call, arrived, &mut open).await {
+        Ok(received) => received,
         Err(error) => {
-            state.metrics.refusal(error.word());
-            let revision = state.settings.borrow().as_ref().map(|book| book.revision);
+            state.metrics.refusal(error.as_str());
+            let revision = state.settings.borrow().as_ref().map(|settings| settings.revision);
             log::info!(
-                request = name.as_str(), path = path.as_str(), outcome = error.word(),
+                request = id.as_str(), path = path.as_str(), outcome = error.as_str(),
                 cause:% = error, revision = revision, age_ms = state.proof_age_ms(); "not taken in"
             );
-            return error.answer();
+            return error.response();
         }
     };
-    serve(state, job, held).await
+    serve(state, received, open).await
 }
 
-/// A server declined and no further attempt is allowed. Others may be free, and the next try of its
-/// caller finds them.
+/// A server declined and no further attempt is allowed. Other servers may have free slots, which the
+/// caller's next try can use.
 const DECLINED: Refused = Refused { refusal: Refusal::Full, again: Duration::from_millis(50) };
 
-/// Outcome in logs and metrics of a request whose caller went away.
-const GONE: &str = "caller-gone";
+/// Outcome in logs and metrics of a request whose caller disconnected.
+const CALLER_GONE: &str = "caller-gone";
 
-/// How a stream went, for the log.
+/// Measurements of one request, for the log.
 #[derive(Default)]
-pub(crate) struct Pace {
+pub(crate) struct Stats {
     /// Time from its arrival to the first event.
-    pub(crate) first: Option<Duration>,
-    /// Longest pause between two events.
-    pub(crate) longest: Duration,
-    /// Tokens of its answer that were passed on.
+    pub(crate) first_event: Option<Duration>,
+    /// Longest pause between two chunks with events.
+    pub(crate) longest_pause: Duration,
+    /// Tokens of the answer that were passed on.
     pub(crate) tokens: u32,
-    /// Time from its arrival to its last send.
+    /// Time from its arrival to its latest attempt.
     sent: Option<Duration>,
-    /// Sends of it.
+    /// Number of attempts.
     sends: u32,
-    /// What was expected of the engine at the last send.
+    /// The scheduler's estimate for the engine of the latest attempt.
     expected: Option<Expected>,
 }
 
-/// Where a request is on its way, between attempts.
-pub(crate) struct Course<A: Adapter> {
+/// A request that is being served.
+pub(crate) struct ActiveRequest<A: Adapter> {
     pub(crate) state: Rc<State<A>>,
-    pub(crate) job: Job,
+    pub(crate) received: Received,
     pub(crate) place: Place,
     #[allow(dead_code, reason = "counts the request until its answer ends")]
-    held: OpenRequest<A>,
-    /// The server that it was sent to last.
+    open: OpenRequest<A>,
+    /// The server of the latest attempt.
     pub(crate) server: Option<Rc<Entry>>,
-    /// When it was sent last.
+    /// When the latest attempt was sent.
     sent: Instant,
-    pub(crate) pace: Pace,
-    /// Its end was logged.
-    over: Cell<bool>,
-    /// What a server answered that failed, for the caller if no other does better.
-    failure: Option<Whole>,
+    pub(crate) stats: Stats,
+    /// Its outcome was logged.
+    ended: Cell<bool>,
+    /// Error response of an earlier attempt, for the caller if no other attempt succeeds.
+    error_reply: Option<WholeReply>,
 }
 
-async fn serve<A: Adapter>(state: Rc<State<A>>, job: Job, held: OpenRequest<A>) -> Answer {
+async fn serve<A: Adapter>(
+    state: Rc<State<A>>,
+    received: Received,
+    open: OpenRequest<A>,
+) -> Answer {
     let mut waiting = Waiting::Fresh(life::Request::new(ids::Request::new()).admit().queue());
-    let place = Place::new(&state.driver, job.request.clone());
+    let place = Place::new(&state.driver, received.request.clone());
     let sent = state.clock.now();
-    let mut course = Course {
+    let mut active = ActiveRequest {
         state,
-        job,
+        received,
         place,
-        held,
+        open,
         server: None,
         sent,
-        pace: Pace::default(),
-        over: Cell::new(false),
-        failure: None,
+        stats: Stats::default(),
+        ended: Cell::new(false),
+        error_reply: None,
     };
-    if let Err(refused) = course.state.crashes.admit(course.job.content) {
-        return course.refuse(waiting, refused);
+    if let Err(refused) = active.state.crashes.admit(active.received.fingerprint) {
+        return active.refuse(waiting, refused);
     }
     loop {
-        let server = match course.turn().await {
+        let server = match active.wait_for_server().await {
             Ok(server) => server,
-            Err(refused) => return course.refuse(waiting, refused),
+            Err(refused) => return active.refuse(waiting, refused),
         };
         let sending = waiting.send();
-        let trouble =
-            match course.attempt(sending.attempt(), &server, course.job.call.last_event_id).await {
-                Ok(start) => return course.pass(sending, start),
-                Err(trouble) => trouble,
-            };
-        course.note(sending.attempt(), &server, &trouble);
-        let again = course.place.end(trouble.ending());
-        let late = matches!(trouble, Trouble::Late);
-        let unsent = trouble.unsent();
-        if let Trouble::Failed(whole) = trouble {
-            course.failure = Some(*whole);
+        let error = match active
+            .attempt(sending.attempt(), &server, active.received.call.last_event_id)
+            .await
+        {
+            Ok(reply) => return active.relay(sending, reply),
+            Err(error) => error,
+        };
+        active.record_failure(sending.attempt(), &server, &error);
+        let again = active.place.end(error.ending());
+        let timed_out = matches!(error, AttemptError::TimedOut);
+        let unsent = error.unsent();
+        if let AttemptError::ServerError(whole) = error {
+            active.error_reply = Some(*whole);
         }
-        waiting = match sending.failed(unsent, course.job.repeatable()) {
+        waiting = match sending.failed(unsent, active.received.repeatable()) {
             Ok(waiting) => waiting,
-            Err(outcome) => return course.unknown(outcome, late),
+            Err(outcome) => return active.answer_without_reply(outcome, timed_out),
         };
         if !again {
-            return course.refuse(waiting, DECLINED);
+            return active.refuse(waiting, DECLINED);
         }
     }
 }
 
-impl<A: Adapter> Course<A> {
-    /// Waits for the request's turn; returns the server that it may be sent to.
-    pub(crate) async fn turn(&mut self) -> Result<Rc<Entry>, Refused> {
+impl<A: Adapter> ActiveRequest<A> {
+    /// Waits until the scheduler assigns a server; returns the server to send the request to.
+    pub(crate) async fn wait_for_server(&mut self) -> Result<Rc<Entry>, Refused> {
         loop {
             let key = self.place.turn().await?;
-            if self.job.left(&self.state).is_zero() {
-                // The process may have been paused since the turn was given.
+            if self.received.time_left(&self.state).is_zero() {
+                // The process may have been suspended since the server was assigned.
                 self.place.end(Ending::Cancelled);
                 return Err(Refused { refusal: Refusal::Late, ..Refused::NOBODY });
             }
-            if let Err(refused) = self.state.crashes.pass(self.job.content) {
+            if let Err(refused) = self.state.crashes.pass(self.received.fingerprint) {
                 self.place.end(Ending::Cancelled);
                 return Err(refused);
             }
@@ -159,10 +167,10 @@
             match server {
                 Some(server) => {
                     self.server = Some(server.clone());
-                    self.pace.sent = Some(self.state.elapsed_since(self.job.arrived));
-                    self.pace.sends += 1;
+                    self.stats.sent = Some(self.state.elapsed_since(self.received.arrived));
+                    self.stats.sends += 1;
                     self.sent = self.state.clock.now();
-                    self.pace.expected = self.place.expected();
+                    self.stats.expected = self.place.expected();
                     return Ok(server);
                 }
                 None if self.place.end(Ending::Unreached) => {}
@@ -171,81 +179,82 @@
         }
     }
 
-    /// One attempt, within the time that is left. Only one that another may follow is given up
-    /// early.
+    /// Sends attempt `number` and waits for the start of its answer until the request's time is over.
+    /// An attempt that another one may follow is abandoned earlier, after [`STALL_TARGETS`].
     pub(crate) async fn attempt(
         &mut self,
         number: u32,
         server: &Entry,
-        after: Option<u64>,
-    ) -> Result<Start, Trouble> {
-        let left = self.job.left(&self.state);
-        let followed = number < u32::from(self.job.route().attempts);
-        let early = followed && self.job.repeatable().is_some();
-        let silent = self.job.route().target * SILENT;
-        let within = if early { left.min(silent) } else { left };
-        let fetch = self.pace.expected.and_then(|expected| expected.fetch);
-        let fetch = fetch.and_then(|key| self.state.registry.borrow().server(key).cloned());
-        let asking = attempt::ask(&self.state, &self.job, server, after, fetch);
-        tokio::time::timeout(within, asking).await.unwrap_or(Err(Trouble::Late))
+        last_event_id: Option<u64>,
+    ) -> Result<Reply, AttemptError> {
+        let time_left = self.received.time_left(&self.state);
+        let may_retry = number < u32::from(self.received.route().attempts);
+        let early = may_retry && self.received.repeatable().is_some();
+        let stalled = self.received.route().target * STALL_TARGETS;
+        let timeout = if early { time_left.min(stalled) } else { time_left };
+        let fetch = self.stats.expected.and_then(|expected| expected.fetch);
+        let fetch_from = fetch.and_then(|key| self.state.registry.borrow().server(key).cloned());
+        let sending = attempt::send(&self.state, &self.received, server, last_event_id, fetch_from);
+        tokio::time::timeout(timeout, sending).await.unwrap_or(Err(AttemptError::TimedOut))
     }
 
-    /// Notes why an attempt brought no answer, and finds out whether the server crashed under it.
-    pub(crate) fn note(&self, attempt: u32, server: &Entry, trouble: &Trouble) {
-        let (request, name) = (self.job.call.id.as_str(), server.name.as_str());
-        let left_ms = self.job.left(&self.state).as_millis() as u64;
-        self.state.metrics.failed(&self.job.route().name);
+    /// Logs and counts a failed attempt, and lets [`turns::Crashes`] check whether the server crashed.
+    pub(crate) fn record_failure(&self, attempt: u32, server: &Entry, error: &AttemptError) {
+        let (request, name) = (self.received.call.id.as_str(), server.name.as_str());
+        let left_ms = self.received.time_left(&self.state).as_millis() as u64;
+        self.state.metrics.failed(&self.received.route().name);
         log::warn!(
-            request = request, content = self.job.content_name(), server = name,
-            attempt = attempt, left_ms = left_ms, cause:% = trouble; "attempt failed"
+            request = request, content = self.received.fingerprint_hex(), server = name,
+            attempt = attempt, left_ms = left_ms, cause:% = error; "attempt failed"
         );
-        match trouble {
-            Trouble::Failed(_) => self.state.crashes.completed(self.job.content),
-            Trouble::Lost(_) if self.stays(name) => {
-                self.state.crashes.lost(target(server), self.job.content, self.sent);
+        match error {
+            AttemptError::ServerError(_) => self.state.crashes.completed(self.received.fingerprint),
+            AttemptError::Lost(_) if self.should_be_running(name) => {
+                self.state.crashes.lost(crash_target(server), self.received.fingerprint, self.sent);
             }
             _ => {}
         }
     }
 
-    /// Whether a server is listed and isn't leaving, so that its end isn't planned.
-    fn stays(&self, server: &str) -> bool {
+    /// Whether a server is listed and isn't shutting down, so that a refused connection means a crash.
+    fn should_be_running(&self, server: &str) -> bool {
         self.state.roster.borrow().get(server).is_some_and(|entry| !entry.leaving)
     }
 
-    /// Logs and counts how the request ended.
-    pub(crate) fn ended(&self, outcome: &str, status: u16) {
-        let job = &self.job;
-        let route = job.route().name.as_str();
-        let time = self.state.elapsed_since(job.arrived);
+    /// Logs and counts the outcome of the request.
+    pub(crate) fn record_outcome(&self, outcome: &str, status: u16) {
+        let received = &self.received;
+        let route = received.route().name.as_str();
+        let time = self.state.elapsed_since(received.arrived);
         let server = self.server.as_ref().map_or("", |server| &server.name);
-        self.over.set(true);
+        self.ended.set(true);
         self.state.metrics.outcome(route, outcome);
         let millis = |time: Duration| time.as_millis() as u64;
-        let Pace { first, longest, tokens, sent, sends, expected } = &self.pace;
-        let route_terms = job.route();
+        let Stats { first_event, longest_pause, tokens, sent, sends, expected } = &self.stats;
+        let route_terms = received.route();
         log::info!(
-            request = job.call.id.as_str(), content = job.content_name(), route = route,
-            tier = job.found.tier(),
+            request = received.call.id.as_str(), content = received.fingerprint_hex(),
+            route = route, tier = received.found.tier(),
             server = server, outcome = outcome, status = status, took_ms = millis(time),
-            first_ms = first.map(millis), pause_ms = millis(*longest), sends = sends,
+            first_ms = first_event.map(millis), pause_ms = millis(*longest_pause), sends = sends,
             sent_ms = sent.map(millis), home = expected.map(|expected| expected.preferred),
             reading_ms = expected.map(|expected| millis(expected.prefill)),
             backlog_ms = expected.map(|expected| millis(expected.backlog)),
             ahead_ms = expected.map(|expected| millis(expected.ahead)),
             overdue_ms = expected.map(|expected| millis(expected.overdue)),
             fetched = expected.map(|expected| expected.fetch.is_some()),
-            prompt = job.request.prompt_tokens, tokens = tokens,
-            most_tokens = job.request.max_tokens, guess = job.call.prompt.length_hint, target_ms = millis(route_terms.target),
-            bears_ms = route_terms.pause.map(millis), limit_ms = millis(job.limit),
-            revision = job.revision, age_ms = self.state.proof_age_ms(); "ended"
+            prompt = received.request.prompt_tokens, tokens = tokens,
+            most_tokens = received.request.max_tokens, guess = received.call.prompt.length_hint,
+            target_ms = millis(route_terms.target), bears_ms = route_terms.pause.map(millis),
+            limit_ms = millis(received.time_limit),
+            revision = received.revision, age_ms = self.state.proof_age_ms(); "ended"
         );
     }
 
-    /// No attempt follows.
+    /// Answers a request for which no further attempt is made.
     fn refuse(&mut self, waiting: Waiting, refused: Refused) -> Answer {
-        if let Some(whole) = self.failure.take() {
-            return self.whole(whole);
+        if let Some(whole) = self.error_reply.take() {
+            return self.relay_whole(whole);
         }
         let outcome = waiting.refuse(match refused.refusal {
             Refusal::Full | Refusal::Displaced => Reason::Full,
@@ -254,7 +263,7 @@
             Refusal::Quarantined => Reason::Quarantined,
         });
         if outcome == Outcome::Unknown {
-            return self.unknown(outcome, refused.refusal == Refusal::Late);
+            return self.answer_without_reply(outcome, refused.refusal == Refusal::Late);
         }
         let reason = match refused.refusal {
             Refusal::Full => "no room",
@@ -263,63 +272,65 @@
             Refusal::NoServer => "no backend server may take it",
             Refusal::Quarantined => "servers ended under it",
         };
-        let error = Error::Refused { reason, again: refused.again };
+        let error = Error::Refused { reason, retry_after: refused.again };
         self.state.metrics.refusal(reason);
-        self.ended(reason, error.status().as_u16());
-        error.answer()
+        self.record_outcome(reason, error.status().as_u16());
+        error.response()
     }
 
-    /// It may have run, and no whole answer came.
-    fn unknown(&mut self, outcome: Outcome, late: bool) -> Answer {
-        if let Some(whole) = self.failure.take() {
-            return self.whole(whole);
+    /// Answers a request that may have run but brought no complete answer: with an earlier attempt's
+    /// error response if there is one, or else with an error of the proxy.
+    fn answer_without_reply(&mut self, outcome: Outcome, timed_out: bool) -> Answer {
+        if let Some(whole) = self.error_reply.take() {
+            return self.relay_whole(whole);
         }
-        let error = if late { Error::Late } else { Error::Unknown };
-        self.ended(outcome.as_str(), error.status().as_u16());
-        error.answer()
+        let error = if timed_out { Error::TimedOut } else { Error::Unknown };
+        self.record_outcome(outcome.as_str(), error.status().as_u16());
+        error.response()
     }
 
-    /// Passes a whole answer on.
-    fn whole(&mut self, whole: Whole) -> Answer {
+    /// Passes a complete answer on.
+    fn relay_whole(&mut self, whole: WholeReply) -> Answer {
         let outcome = Outcome::Complete.as_str();
-        self.ended(outcome, whole.status.as_u16());
-        self.state.crashes.completed(self.job.content);
-        let workspace = self.job.found.workspace.as_ref().map_or("", |workspace| &workspace.name);
-        let time = self.state.elapsed_since(self.job.arrived);
-        self.state.metrics.answered(&self.job.route().name, workspace, time);
+        self.record_outcome(outcome, whole.status.as_u16());
+        self.state.crashes.completed(self.received.fingerprint);
+        let workspace =
+            self.received.found.workspace.as_ref().map_or("", |workspace| &workspace.name);
+        let time = self.state.elapsed_since(self.received.arrived);
+        self.state.metrics.answered(&self.received.route().name, workspace, time);
         let mut response = Response::new(whole.status);
         *response.headers_mut() = whole.headers;
         response.set_body(whole.body).map_into_boxed_body()
     }
 
-    /// Passes an answer on as it comes.
-    fn pass(mut self, sending: Sending, start: Start) -> Answer {
-        let mut source = match start {
-            Start::Whole(whole) => {
+    /// Passes an answer on, at once if it is complete, or else as it arrives.
+    fn relay(mut self, sending: Sending, reply: Reply) -> Answer {
+        let mut reply = match reply {
+            Reply::Whole(whole) => {
                 self.place.end(Ending::Completed);
                 sending.complete();
-                return self.whole(whole);
+                return self.relay_whole(whole);
             }
-            Start::Passing(source) => source,
+            Reply::Partial(reply) => reply,
         };
-        let mut response = Response::new(source.status);
-        *response.headers_mut() = std::mem::take(&mut source.headers);
-        let passing = Passing::new(self, sending.stream(), source);
-        response.set_body(stream::body(passing)).map_into_boxed_body()
+        let mut response = Response::new(reply.status);
+        *response.headers_mut() = std::mem::take(&mut reply.headers);
+        let relay = Relay::new(self, sending.stream(), reply);
+        response.set_body(stream::body(relay)).map_into_boxed_body()
     }
 }
 
-/// A server as it is known if it crashes: one that starts again under its name is another.
-fn target(server: &Entry) -> Target {
+/// Identifies a server for crash detection; a restart under the same name counts as another server.
+fn crash_target(server: &Entry) -> Target {
     let start = format!("{} {}", server.name, server.started.unwrap_or_default());
     Target { start: Some(wire::key(&start)), address: server.address.clone() }
 }
 
-/// A request whose caller went away is dropped wherever it stands.
-impl<A: Adapter> Drop for Course<A> {
+/// A request whose caller disconnected is dropped at whatever point it is, and logged here.
+impl<A: Adapter> Drop for ActiveRequest<A> {
     fn drop(&mut self) {
-        if !self.over.get() {
-            self.ended(GONE, 0);
+        if !self.ended.get() {
+            self.record_outcome(CALLER_GONE, 0);
         }
     }
 }
--- a/components/forward/src/state.rs
+++ b/components/forward/src/state.rs
@@ -302,7 +302,9 @@
             return;
         }
         self.newest_invalid.set(false);
-        self.registry.borrow_mut().apply(&mut self.driver.scheduler.borrow_mut(), &settings);
+        self.registry
+            .borrow_mut()
+            .apply_settings(&mut self.driver.scheduler.borrow_mut(), &settings);
         self.listener_limits.send_modify(|limits| {
             limits.head_time = settings.intake.head_time;
             // Callers reuse connections that were idle for nearly as long as this allows.
--- a/components/forward/src/stream.rs
+++ b/components/forward/src/stream.rs
@@ -1,5 +1,5 @@
-//! Passes an answer on as it comes and no faster than it is read. Where a stream breaks off, another
-//! server that can goes on with it.
+//! Passes an answer on as it arrives, and no faster than the caller reads it. If a stream is
+//! interrupted, it is resumed at another server where its route allows that.
 
 use std::io;
 use std::time::{Duration, Instant};
@@ -12,152 +12,162 @@
 use policy::Ending;
 
 use crate::adapter::Adapter;
-use crate::attempt::{Part, Source, Start, Trouble};
+use crate::attempt::{AttemptError, Chunk, PartialReply, Reply};
 use crate::mechanism::Mechanism;
-use crate::serve::Course;
+use crate::serve::ActiveRequest;
 
-/// Time for the last events to reach the socket before the connection is cut under them.
-const FLUSH: Duration = Duration::from_millis(50);
-/// A pause of so many times the longest that callers hope for is a stall: longer ones than that happen in
-/// a full batch, three times as long don't.
-const PAUSES: u32 = 3;
-/// The shortest pause that is one.
-const LEAST: Duration = Duration::from_secs(1);
+/// Time for the last events to reach the socket before the connection is closed after an error.
+const FLUSH_DELAY: Duration = Duration::from_millis(50);
+/// A pause this many times as long as the route's target for pauses counts as a stall. Pauses longer
+/// than the target occur when an engine's batch is full, pauses three times as long don't.
+const STALL_PAUSES: u32 = 3;
+/// Shortest pause that counts as a stall.
+const MIN_STALL: Duration = Duration::from_secs(1);
 
-/// An answer under way from a server to a caller.
-pub(crate) struct Passing<A: Adapter> {
-    course: Course<A>,
+/// An answer that is being passed on from a server to a caller.
+pub(crate) struct Relay<A: Adapter> {
+    active: ActiveRequest<A>,
     life: Option<life::Request<Streaming>>,
-    source: Option<Box<Source>>,
-    last: Option<Instant>,
+    reply: Option<Box<PartialReply>>,
+    /// When the last chunk with events was passed on.
+    last_chunk: Option<Instant>,
+    /// Tokens passed on in an answer that hasn't ended regularly.
     tokens: u32,
-    /// The answer broke off; the connection is cut under it.
+    /// The answer was interrupted and isn't resumed; the caller's connection is closed.
     broken: bool,
 }
 
-impl<A: Adapter> Passing<A> {
+impl<A: Adapter> Relay<A> {
     pub(crate) fn new(
-        course: Course<A>,
+        active: ActiveRequest<A>,
         life: life::Request<Streaming>,
-        source: Box<Source>,
+        reply: Box<PartialReply>,
     ) -> Self {
-        let (life, source) = (Some(life), Some(source));
-        Passing { course, life, source, last: None, tokens: 0, broken: false }
+        let (life, reply) = (Some(life), Some(reply));
+        Relay { active, life, reply, last_chunk: None, tokens: 0, broken: false }
     }
 
-    /// The next bytes for the caller; none at the true end of the answer. After an error the
-    /// connection ends, so what came can't be taken for the whole.
+    /// The next bytes for the caller; none after the regular end of the answer. An error closes the
+    /// connection, so that the caller can't take an interrupted answer for a complete one.
     async fn next(&mut self) -> Option<io::Result<Bytes>> {
         loop {
             if self.broken {
-                tokio::time::sleep(FLUSH).await;
+                tokio::time::sleep(FLUSH_DELAY).await;
                 return Some(Err(io::Error::other("the answer broke off")));
             }
-            let trouble = match self.part().await {
-                Ok(Some(part)) => return Some(Ok(self.passed(part))),
-                Ok(None) => return self.whole(),
-                Err(trouble) => trouble,
+            let error = match self.next_chunk().await {
+                Ok(Some(chunk)) => return Some(Ok(self.record_chunk(chunk))),
+                Ok(None) => return self.complete(),
+                Err(error) => error,
             };
-            if !self.resume(trouble).await {
-                self.broke();
+            if !self.resume(error).await {
+                self.break_off();
             }
         }
     }
 
-    async fn part(&mut self) -> Result<Option<Part>, Trouble> {
-        let Some(source) = &mut self.source else { return Ok(None) };
-        let left = self.course.job.left(&self.course.state);
-        if left.is_zero() {
-            return Err(Trouble::Late);
+    /// The server's next chunk, within the time left and, if the request may run again, within the
+    /// pause after which the stream counts as stalled.
+    async fn next_chunk(&mut self) -> Result<Option<Chunk>, AttemptError> {
+        let Some(reply) = &mut self.reply else { return Ok(None) };
+        let time_left = self.active.received.time_left(&self.active.state);
+        if time_left.is_zero() {
+            return Err(AttemptError::TimedOut);
         }
-        let repeatable = self.course.job.repeatable().is_some();
-        let pause = stall(self.course.job.route().pause);
-        let within = if repeatable { left.min(pause) } else { left };
-        tokio::time::timeout(within, source.next()).await.unwrap_or(Err(Trouble::Late))
+        let repeatable = self.active.received.repeatable().is_some();
+        let stalled = stall_after(self.active.received.route().pause);
+        let timeout = if repeatable { time_left.min(stalled) } else { time_left };
+        tokio::time::timeout(timeout, reply.next_chunk())
+            .await
+            .unwrap_or(Err(AttemptError::TimedOut))
     }
 
-    fn passed(&mut self, part: Part) -> Bytes {
-        let Course { state, job, place, pace, server, .. } = &mut self.course;
-        if part.events > 0 {
-            let book = state.settings.borrow();
-            let services = book.as_ref().map(|book| &book.services);
+    /// Counts the tokens of a chunk and measures its delay; returns its bytes.
+    fn record_chunk(&mut self, chunk: Chunk) -> Bytes {
+        let ActiveRequest { state, received, place, stats, server, .. } = &mut self.active;
+        if chunk.events > 0 {
+            let settings = state.settings.borrow();
+            let services = settings.as_ref().map(|settings| &settings.services);
             let service = server.as_ref().map(|server| &server.service);
             let service = services.zip(service).and_then(|(all, name)| all.get(name));
-            let tokens = part.events * service.map_or(1, |service| service.event_tokens);
+            let tokens = chunk.events * service.map_or(1, |service| service.event_tokens);
             self.tokens += tokens;
-            pace.tokens += tokens;
+            stats.tokens += tokens;
             place.tokens(tokens);
             let now = state.clock.now();
-            let route = &job.route().name;
-            match self.last.replace(now) {
+            let route = &received.route().name;
+            match self.last_chunk.replace(now) {
                 None => {
-                    let first = now - job.arrived.at;
+                    let first = now - received.arrived.at;
                     state.metrics.first_token(route, first);
-                    pace.first = Some(first);
+                    stats.first_event = Some(first);
                 }
                 Some(last) => {
                     state.metrics.token_interval(route, (now - last) / tokens);
-                    pace.longest = pace.longest.max(now - last);
+                    stats.longest_pause = stats.longest_pause.max(now - last);
                 }
             }
         }
-        part.bytes
+        chunk.bytes
     }
 
-    fn whole(&mut self) -> Option<io::Result<Bytes>> {
+    /// Ends the request after a complete answer, and returns the connection to the pool.
+    fn complete(&mut self) -> Option<io::Result<Bytes>> {
         let life = self.life.take()?;
-        self.course.place.end(Ending::Completed);
+        self.active.place.end(Ending::Completed);
         self.tokens = 0;
-        if let Some(source) = self.source.take() {
-            let status = source.status.as_u16();
-            source.keep(&self.course.state);
-            self.course.state.crashes.completed(self.course.job.content);
-            self.course.ended(life.complete().as_str(), status);
+        if let Some(reply) = self.reply.take() {
+            let status = reply.status.as_u16();
+            reply.release_connection(&self.active.state);
+            self.active.state.crashes.completed(self.active.received.fingerprint);
+            self.active.record_outcome(life.complete().as_str(), status);
         }
         None
     }
 
-    fn broke(&mut self) {
+    /// Ends the request after an answer that was interrupted and can't be resumed.
+    fn break_off(&mut self) {
         self.broken = true;
-        self.source = None;
+        self.reply = None;
         if let Some(life) = self.life.take() {
-            self.course.ended(life.broken().as_str(), 0);
+            self.active.record_outcome(life.broken().as_str(), 0);
         }
     }
 
-    /// Looks for a server that goes on where the answer stopped. False where none does.
-    async fn resume(&mut self, trouble: Trouble) -> bool {
+    /// Resumes an interrupted answer at another server; returns false if that isn't possible.
+    async fn resume(&mut self, error: AttemptError) -> bool {
         let Some(mut life) = self.life.take() else { return false };
-        let mut trouble = trouble;
-        // The server before must not go on while another one does.
-        let last = self.source.take().and_then(|source| source.last());
-        let last = last.max(self.course.job.call.last_event_id);
+        let mut error = error;
+        // Dropping the reply closes its connection: the previous server must not continue while
+        // another one does.
+        let last = self.reply.take().and_then(|reply| reply.last_event_id());
+        let last = last.max(self.active.received.call.last_event_id);
         loop {
-            if let Some(server) = self.course.server.clone() {
-                self.course.note(life.attempt(), &server, &trouble);
+            if let Some(server) = self.active.server.clone() {
+                self.active.record_failure(life.attempt(), &server, &error);
             }
-            let ending = trouble.ending();
-            let resumes = self.course.state.disabled.is_enabled(Mechanism::StreamResumption);
-            let sound = resumes && !matches!(trouble, Trouble::Disorder(_));
-            let Some(proof) = self.course.job.repeatable().filter(|_| sound) else {
-                self.course.place.end(ending);
+            let ending = error.ending();
+            let enabled = self.active.state.disabled.is_enabled(Mechanism::StreamResumption);
+            let resumable = enabled && !matches!(error, AttemptError::OutOfOrder(_));
+            let Some(proof) = self.active.received.repeatable().filter(|_| resumable) else {
+                self.active.place.end(ending);
                 break;
             };
-            if !self.course.place.end(ending) {
+            if !self.active.place.end(ending) {
                 break;
             }
-            let Ok(server) = self.course.turn().await else { break };
+            let Ok(server) = self.active.wait_for_server().await else { break };
             life = life.pause(proof).resume();
-            trouble = match self.course.attempt(life.attempt(), &server, last).await {
-                Ok(Start::Passing(source)) => {
-                    self.source = Some(source);
+            error = match self.active.attempt(life.attempt(), &server, last).await {
+                Ok(Reply::Partial(reply)) => {
+                    self.reply = Some(reply);
                     self.life = Some(life);
                     return true;
                 }
-                Ok(Start::Whole(whole)) => {
-                    Trouble::Lost(format!("status {} in place of a stream", whole.status))
+                Ok(Reply::Whole(whole)) => {
+                    AttemptError::Lost(format!("status {} in place of a stream", whole.status))
                 }
-                Err(trouble) => trouble,
+                Err(error) => error,
             };
         }
         self.life = Some(life);
@@ -165,25 +175,25 @@
     }
 }
 
-impl<A: Adapter> Drop for Passing<A> {
+impl<A: Adapter> Drop for Relay<A> {
     fn drop(&mut self) {
         if self.tokens > 0 {
-            let route = &self.course.job.route().name;
-            self.course.state.metrics.wasted(route, self.tokens.into());
+            let route = &self.active.received.route().name;
+            self.active.state.metrics.wasted(route, self.tokens.into());
         }
     }
 }
 
-/// Pause after which an answer counts as stalled, where callers hope for none longer than `pause`.
-fn stall(pause: Option<Duration>) -> Duration {
-    pause.map_or(LEAST, |pause| (pause * PAUSES).max(LEAST))
+/// Pause after which a stream counts as stalled, given the route's target for the longest pause.
+fn stall_after(pause: Option<Duration>) -> Duration {
+    pause.map_or(MIN_STALL, |pause| (pause * STALL_PAUSES).max(MIN_STALL))
 }
 
-/// The body of the answer.
-pub(crate) fn body<A: Adapter>(passing: Passing<A>) -> BoxBody {
-    let parts = stream::unfold(passing, |mut passing| async move {
-        let bytes = passing.next().await?;
-        Some((bytes, passing))
+/// The body of the response to the caller.
+pub(crate) fn body<A: Adapter>(relay: Relay<A>) -> BoxBody {
+    let chunks = stream::unfold(relay, |mut relay| async move {
+        let bytes = relay.next().await?;
+        Some((bytes, relay))
     });
-    BodyStream::new(Box::pin(parts)).boxed()
+    BodyStream::new(Box::pin(chunks)).boxed()
 }
