--- a/components/forward/src/lib.rs
+++ b/components/forward/src/lib.rs
@@ -146,7 +146,7 @@
     pub fn abort(&self) -> Vec<String> {
         let aborted = self.state.open_request_ids();
         for id in aborted.iter().take(LOGGED_ABORTS) {
-            log::warn!(request = id.as_str(); "request aborted");
+            log::warn!(request = id.as_str(); "cut");
         }
         self.callers.cut();
         aborted
