--- a/components/forward/src/follow.rs
+++ b/components/forward/src/follow.rs
@@ -182,17 +182,17 @@
     let asked = state.clock.awake();
     let position = state.replica.borrow().position().filter(|_| !state.history_lost.take());
     let Some(after) = position else {
-        let Versioned { value, position: at } = state.adapter.store.list(list_limit).await?;
+        let Versioned { value, position } = state.adapter.store.list(list_limit).await?;
         state.roster.borrow_mut().answered(state.clock.now());
-        let updates = state.replica.borrow_mut().replace(value, at);
+        let updates = state.replica.borrow_mut().replace(value, position);
         apply_items(state, updates);
         confirm_freshness(state, asked);
         state.loaded.set(true);
         return Ok(Duration::ZERO);
     };
     let wait = if state.store_failures.get() > 0 { PROBE_WAIT } else { WAIT };
-    let Versioned { value, position: at } = match state.adapter.store.watch(after, wait).await? {
-        WatchReply::Changes(reading) => reading,
+    let Versioned { value, position } = match state.adapter.store.watch(after, wait).await? {
+        WatchReply::Changes(changes) => changes,
         WatchReply::HistoryLost => {
             log::info!(
                 after = after;
@@ -205,7 +205,7 @@
     state.roster.borrow_mut().answered(state.clock.now());
     let waited = state.clock.awake().saturating_sub(asked);
     let has_changes = !value.is_empty();
-    let updates = state.replica.borrow_mut().apply(value, at);
+    let updates = state.replica.borrow_mut().apply(value, position);
     apply_items(state, updates);
     let quiet = !has_changes && waited >= WAIT;
     confirm_freshness(state, if quiet { proof::from_quiet_watch(asked, WAIT) } else { asked });
--- a/components/forward/src/gossip.rs
+++ b/components/forward/src/gossip.rs
@@ -246,10 +246,10 @@
 /// Sums all reports again. Nodes aren't sent the occupied slots of an engine below [`CROWDED_PART`], nor an
 /// engine at which there is nothing else to report.
 fn refresh_sums<A: Adapter>(state: &State<A>) {
-    let (names, scheduler) = (state.registry.borrow(), state.driver.scheduler.borrow());
+    let (registry, scheduler) = (state.registry.borrow(), state.driver.scheduler.borrow());
     let to_report = |mut load: Load| {
         let slots =
-            names.server_by_wire_key(load.server).and_then(|server| scheduler.slots(server));
+            registry.server_by_wire_key(load.server).and_then(|server| scheduler.slots(server));
         let occupied: u32 = load.taken.iter().sum();
         if f64::from(occupied) < f64::from(slots.unwrap_or_default()) * CROWDED_PART {
             load.taken.clear();
@@ -277,10 +277,10 @@
 /// Load of this node's requests at engines.
 fn own_loads<A: Adapter>(state: &State<A>) -> Vec<Load> {
     let backlogs = state.driver.scheduler.borrow().backlogs(state.clock.now());
-    let names = state.registry.borrow();
+    let registry = state.registry.borrow();
     let load = |backlog: Backlog| {
         Some(Load {
-            server: wire::key(&names.server(backlog.server)?.name),
+            server: wire::key(&registry.server(backlog.server)?.name),
             reading_ms: to_whole_units(&backlog.prefill, MS_PER_S),
             overdue_ms: to_whole_units(&backlog.overdue, MS_PER_S),
             taken: to_whole_units(&backlog.occupied, 1.0),
@@ -311,27 +311,29 @@
 /// the engine's name, and the part.
 fn own_cached_parts<A: Adapter>(state: &State<A>) -> Vec<(u32, u64)> {
     let updates = state.driver.scheduler.borrow_mut().cache_updates(state.clock.now());
-    let names = state.registry.borrow();
-    let row = |cached: Cached| Some((wire::key(&names.server(cached.server)?.name), cached.part));
+    let registry = state.registry.borrow();
+    let row =
+        |cached: Cached| Some((wire::key(&registry.server(cached.server)?.name), cached.part));
     updates.into_iter().filter_map(row).collect()
 }
 
 /// Hands the parts that other nodes report as cached to the scheduler.
 fn apply_cached_parts<A: Adapter>(state: &State<A>, parts: &[(u32, u64)]) {
-    let names = state.registry.borrow();
-    let cached =
-        |row: &(u32, u64)| Some(Cached { server: names.server_by_wire_key(row.0)?, part: row.1 });
+    let registry = state.registry.borrow();
+    let cached = |row: &(u32, u64)| {
+        Some(Cached { server: registry.server_by_wire_key(row.0)?, part: row.1 })
+    };
     let reported = parts.iter().filter_map(cached);
     state.driver.scheduler.borrow_mut().apply_cache_updates(reported, state.clock.now());
 }
 
 /// Hands the load of all other nodes at engines and their rates of requests to the scheduler.
 fn apply_peer_loads<A: Adapter>(state: &State<A>, loads: &[Load], sends: &[u32]) {
-    let names = state.registry.borrow();
+    let registry = state.registry.borrow();
     let seconds = |ms: &u32| f64::from(*ms) / MS_PER_S;
     let backlog = |load: &Load| {
         Some(Backlog {
-            server: names.server_by_wire_key(load.server)?,
+            server: registry.server_by_wire_key(load.server)?,
             prefill: load.reading_ms.iter().map(seconds).collect(),
             overdue: load.overdue_ms.iter().map(seconds).collect(),
             occupied: load.taken.iter().map(|slots| f64::from(*slots)).collect(),
--- a/components/forward/src/limits.rs
+++ b/components/forward/src/limits.rs
@@ -93,10 +93,10 @@
     if !state.disabled.is_enabled(Mechanism::LoadGossip) {
         return;
     }
-    let names = state.registry.borrow();
+    let registry = state.registry.borrow();
     let mut scheduler = state.driver.scheduler.borrow_mut();
     for limit in state.rate_limits.throttle.borrow().all() {
-        if let Some(server) = names.server_by_wire_key(limit.server) {
+        if let Some(server) = registry.server_by_wire_key(limit.server) {
             scheduler.set_rate_limited(server, limit.rate.is_some());
         }
     }
@@ -105,13 +105,13 @@
 /// Hands permits to the scheduler: the key of a server's name, and how many requests it may be sent.
 pub(crate) fn add_permits<A: Adapter>(state: &State<A>, permits: &[(u32, u32)]) {
     let now = state.clock.now();
-    let names = state.registry.borrow();
+    let registry = state.registry.borrow();
     for (server, count) in permits {
-        if let Some(server) = names.server_by_wire_key(*server) {
+        if let Some(server) = registry.server_by_wire_key(*server) {
             state.driver.scheduler.borrow_mut().add_permits(server, *count, now);
         }
     }
-    drop(names);
+    drop(registry);
     if !permits.is_empty() {
         state.driver.pump();
     }
