--- a/components/policy/examples/patterns/driver/node.rs
+++ b/components/policy/examples/patterns/driver/node.rs
@@ -1,4 +1,4 @@
-//! One node: its decisions, and what it has heard of its peers.
+//! A node of the simulation: its policy, and the reports of its peers.
 
 use std::time::{Duration, Instant};
 
@@ -7,15 +7,15 @@
 use slotmap::{SecondaryMap, SlotMap};
 
 use super::baseline::Baseline;
-use super::pattern::{CLASSES, NODES, SERVERS, SLOTS, WORKSPACES, server_region};
-use super::{Chooser, Way};
+use super::pattern::{CLASSES, NODES, SERVERS, SLOTS, WORKSPACES, region_of_server};
+use super::{BaselineKind, PolicyKind};
 
-/// Seconds for which a peer's word is acted on, and after which it counts as gone.
-const FRESH: f64 = 2.0;
-const SILENT: f64 = 5.0;
+/// Age in seconds up to which a peer's report is used in full, and from which on the peer counts as down.
+const FRESH_SECONDS: f64 = 2.0;
+const DOWN_SECONDS: f64 = 5.0;
 const TIERS: usize = 3;
 
-/// Typed keys of all that the decisions name.
+/// The keys of all that the policies refer to.
 pub struct Keys {
     pub classes: Vec<ids::Class>,
     pub workspaces: Vec<ids::Workspace>,
@@ -24,7 +24,7 @@
     pub model: ids::Model,
 }
 
-fn keys<K: slotmap::Key>(count: usize) -> Vec<K> {
+fn new_keys<K: slotmap::Key>(count: usize) -> Vec<K> {
     let mut map = SlotMap::<K, ()>::with_key();
     (0..count).map(|_| map.insert(())).collect()
 }
@@ -32,37 +32,40 @@
 impl Keys {
     pub fn new() -> Self {
         Keys {
-            classes: keys(CLASSES.len()),
-            workspaces: keys(WORKSPACES),
-            servers: keys(SERVERS),
-            regions: keys(2),
-            model: keys(1)[0],
+            classes: new_keys(CLASSES.len()),
+            workspaces: new_keys(WORKSPACES),
+            servers: new_keys(SERVERS),
+            regions: new_keys(2),
+            model: new_keys(1)[0],
         }
     }
 }
 
-/// What a node tells its peers.
+/// A node's report to its peers.
 #[derive(Clone)]
-pub struct Word {
+pub struct PeerReport {
+    /// When it was made.
     pub at: f64,
+    /// Requests in flight, by server.
     pub sent: [u32; SERVERS],
     /// Requests in flight and waiting by tier.
     pub tiers: [(u32, u32); TIERS],
 }
 
-impl Word {
+impl PeerReport {
+    /// The claim of the node on a server's slots, by this report.
     fn claim(&self, node: usize, server: usize, now: f64) -> Claim {
         let age = now - self.at;
         let voice = match age {
-            _ if age < FRESH => Voice::Fresh,
-            _ if age < SILENT => Voice::Stale,
+            _ if age < FRESH_SECONDS => Voice::Fresh,
+            _ if age < DOWN_SECONDS => Voice::Stale,
             _ => Voice::Silent,
         };
         let all: u32 = self.tiers.iter().map(|(sent, _)| sent).sum();
-        let part = f64::from(self.sent[server]) / f64::from(all.max(1));
+        let fraction = f64::from(self.sent[server]) / f64::from(all.max(1));
         let need = |(tier, (sent, waiting)): (usize, &(u32, u32))| Need {
             tier: tier as u8,
-            places: f64::from(*sent) * part + f64::from(*waiting) / SERVERS as f64,
+            places: f64::from(*sent) * fraction + f64::from(*waiting) / SERVERS as f64,
         };
         let needs = self.tiers.iter().enumerate().map(need).collect();
         let waiting = self.tiers.iter().position(|(_, waiting)| *waiting > 0);
@@ -71,72 +74,77 @@
     }
 }
 
+/// A node, its policy and what it knows of the others.
 pub struct Node {
     pub policy: Box<dyn Policy>,
-    /// Whether engines are told tiers.
-    pub ranks: bool,
+    /// Whether its requests carry their tier as a priority for engines.
+    pub sends_priority: bool,
     pub sent: [u32; SERVERS],
-    pub heard: [Option<Word>; NODES],
-    past: Past<Word>,
-    pub asleep: f64,
-    /// When the decisions are next asked though nothing happens.
-    pub planned: f64,
+    pub peer_reports: [Option<PeerReport>; NODES],
+    past: Past<PeerReport>,
+    /// Second until which the node is paused and handles no events.
+    pub paused_until: f64,
+    /// When the policy is next polled though no event comes.
+    pub next_poll: f64,
 }
 
 impl Node {
-    pub fn new(keys: &Keys, chooser: Chooser, seed: u64) -> Self {
-        let classes: SecondaryMap<_, _> = keys.classes.iter().copied().zip(classes()).collect();
-        let policy: Box<dyn Policy> = match chooser {
-            Chooser::Baseline(way) => {
+    pub fn new(keys: &Keys, kind: PolicyKind, seed: u64) -> Self {
+        let classes: SecondaryMap<_, _> = keys.classes.iter().copied().zip(class_terms()).collect();
+        let policy: Box<dyn Policy> = match kind {
+            PolicyKind::Baseline(baseline) => {
                 let servers = keys.servers.iter().map(|key| (*key, SLOTS)).collect();
-                Box::new(Baseline::new(way, classes, servers))
+                Box::new(Baseline::new(baseline, classes, servers))
             }
-            Chooser::Godwitlever(without) => {
+            PolicyKind::Godwitlever(disabled) => {
                 let scheduler = Scheduler::with_seed(seed);
-                let scheduler = match without {
+                let scheduler = match disabled {
                     Some(mechanism) => scheduler.with_disabled(mechanism),
                     None => scheduler,
                 };
-                Box::new(set(scheduler, keys, classes))
+                Box::new(configure(scheduler, keys, classes))
             }
         };
-        let ranks = !matches!(chooser, Chooser::Baseline(Way::Fifo));
-        let heard = [const { None }; NODES];
+        let sends_priority = !matches!(kind, PolicyKind::Baseline(BaselineKind::Fifo));
+        let peer_reports = [const { None }; NODES];
         Node {
             policy,
-            ranks,
+            sends_priority,
             sent: [0; SERVERS],
-            heard,
+            peer_reports,
             past: Past::default(),
-            asleep: 0.0,
-            planned: 0.0,
+            paused_until: 0.0,
+            next_poll: 0.0,
         }
     }
 
-    /// Divides the servers' places as routers do, by what was heard.
-    pub fn divide(&mut self, keys: &Keys, node: usize, own: &Word, now: Instant) {
+    /// Divides the servers' slots among the nodes as routers do, by the peers' reports.
+    pub fn divide(&mut self, keys: &Keys, node: usize, own: &PeerReport, now: Instant) {
         self.past.push(now, own.clone());
-        let nobody = Word { at: own.at, sent: [0; SERVERS], tiers: [(0, 0); TIERS] };
-        let settled = self.past.settled(now).unwrap_or(&nobody);
-        let heard = self.heard.iter().enumerate().filter_map(|(i, word)| Some((i, word.as_ref()?)));
-        let heard: Vec<_> = heard.collect();
+        let empty = PeerReport { at: own.at, sent: [0; SERVERS], tiers: [(0, 0); TIERS] };
+        let settled = self.past.settled(now).unwrap_or(&empty);
+        let received = self
+            .peer_reports
+            .iter()
+            .enumerate()
+            .filter_map(|(i, report)| Some((i, report.as_ref()?)));
+        let received: Vec<_> = received.collect();
         for server in 0..SERVERS {
-            let peers: Vec<_> = heard.iter().map(|(i, w)| w.claim(*i, server, own.at)).collect();
-            let mine = Word { at: own.at, ..settled.clone() }.claim(node, server, own.at);
+            let peers: Vec<_> =
+                received.iter().map(|(i, report)| report.claim(*i, server, own.at)).collect();
+            let settled_claim =
+                PeerReport { at: own.at, ..settled.clone() }.claim(node, server, own.at);
             let need = own.claim(node, server, own.at).needs.iter().map(|need| need.places).sum();
             let pool = Pool::new(server as u32 * 7_919, SLOTS, Duration::from_secs_f64(own.at));
-            let share = pool.share(&mine, need, &peers);
-            let (places, sent, waiting) = (share.places, share.sent, share.waiting);
-            self.policy.set_share(
-                keys.servers[server],
-                Share { slots: places, sent, waiting },
-                now,
-            );
+            let share = pool.share(&settled_claim, need, &peers);
+            let (slots, sent, waiting) = (share.places, share.sent, share.waiting);
+            self.policy.set_share(keys.servers[server], Share { slots, sent, waiting }, now);
         }
     }
 }
 
-fn classes() -> impl Iterator<Item = Class> {
+/// The classes as the policies know them.
+fn class_terms() -> impl Iterator<Item = Class> {
     CLASSES.iter().map(|class| Class {
         tier: class.tier,
         priority: class.tier,
@@ -149,7 +157,8 @@
     })
 }
 
-fn set(
+/// Sets the terms of classes, workspaces and servers.
+fn configure(
     mut scheduler: Scheduler,
     keys: &Keys,
     classes: SecondaryMap<ids::Class, Class>,
@@ -168,7 +177,7 @@
     }
     for (index, key) in keys.servers.iter().enumerate() {
         let server = Server {
-            region: keys.regions[server_region(index)],
+            region: keys.regions[region_of_server(index)],
             domain: ids::Domain::default(),
             salt: index as u64 + 1,
             slots: SLOTS,
--- a/components/policy/examples/patterns/main.rs
+++ b/components/policy/examples/patterns/main.rs
@@ -1,4 +1,4 @@
-//! The load patterns, each under two usual ways and under godwitlever, side by side.
+//! Compares the scheduler with two common policies under each load pattern.
 //!
 //! `cargo run --release -p policy --example patterns -- --seed 1 [--pattern burst] [--json]`
 
@@ -6,7 +6,7 @@
 
 use clap::Parser;
 use driver::pattern::{PATTERNS, Pattern};
-use driver::{CHOOSERS, Chooser, Row, run};
+use driver::{POLICIES, PolicyKind, Row, run};
 use policy::Mechanism;
 
 #[derive(Parser)]
@@ -27,8 +27,8 @@
 
 fn main() {
     let args = Args::parse();
-    let asked = |pattern: &&Pattern| args.pattern.as_deref().is_none_or(|n| n == pattern.name);
-    let patterns: Vec<_> = PATTERNS.iter().filter(asked).collect();
+    let selected = |pattern: &&Pattern| args.pattern.as_deref().is_none_or(|n| n == pattern.name);
+    let patterns: Vec<_> = PATTERNS.iter().filter(selected).collect();
     if patterns.is_empty() {
         let names: Vec<_> = PATTERNS.iter().map(|pattern| pattern.name).collect();
         eprintln!("no such pattern; choose one of {}", names.join(", "));
@@ -39,8 +39,8 @@
     }
     let mut all = vec![];
     for pattern in patterns {
-        for (name, chooser) in CHOOSERS {
-            let rows = run(pattern, args.seed, chooser).into_iter();
+        for (name, kind) in POLICIES {
+            let rows = run(pattern, args.seed, kind).into_iter();
             all.extend(rows.map(|row| Row { policy: name.to_string(), ..row }));
         }
     }
@@ -92,11 +92,11 @@
     }
 }
 
-/// Sums of a pattern over seeds 1 to `seeds`.
-fn sums(pattern: &Pattern, seeds: u64, without: Option<Mechanism>) -> [f64; 7] {
+/// Sums of the results of a pattern over seeds 1 to `seeds`, in the order of the columns of the ablation.
+fn sums(pattern: &Pattern, seeds: u64, disabled: Option<Mechanism>) -> [f64; 7] {
     let mut sums = [0.0; 7];
     for seed in 1..=seeds {
-        let rows = run(pattern, seed, Chooser::Godwitlever(without));
+        let rows = run(pattern, seed, PolicyKind::Godwitlever(disabled));
         let total = |get: fn(&Row) -> f64| rows.iter().map(get).sum::<f64>();
         sums[0] += rows[0].attainment / seeds as f64;
         sums[1] += total(|row| row.attainment) / 4.0 / seeds as f64;
@@ -109,15 +109,16 @@
     sums
 }
 
+/// Prints the results with each mechanism disabled in turn.
 fn ablate(patterns: &[&Pattern], seeds: u64) {
     println!(
         "{:16} {:14} {:>7} {:>7} {:>8} {:>8} {:>8} {:>7} {:>5}",
         "pattern", "without", "top", "all", "goodput%", "wasted%", "bytes%", "longest", "told"
     );
     for pattern in patterns {
-        let whole = sums(pattern, seeds, None);
+        let baseline = sums(pattern, seeds, None);
         let line = |name: &str, s: [f64; 7]| {
-            let percent = |i: usize| (s[i] / whole[i].max(1.0) - 1.0) * 100.0;
+            let percent = |i: usize| (s[i] / baseline[i].max(1.0) - 1.0) * 100.0;
             println!(
                 "{:16} {:14} {:7.4} {:7.4} {:8.1} {:8.1} {:8.1} {:7.2} {:5.2}",
                 pattern.name,
@@ -131,7 +132,7 @@
                 s[6]
             );
         };
-        line("-", whole);
+        line("-", baseline);
         for mechanism in Mechanism::ALL.iter().copied() {
             line(&label(mechanism), sums(pattern, seeds, Some(mechanism)));
         }
--- a/components/policy/tests/promises.rs
+++ b/components/policy/tests/promises.rs
@@ -8,8 +8,8 @@
 use std::ops::RangeInclusive;
 use std::thread;
 
-use driver::pattern::{CLASSES, COUNTED, NODES, PATTERNS, Pattern};
-use driver::{CHOOSERS, Row, run};
+use driver::pattern::{CLASSES, MEASURED_CALLS, NODES, PATTERNS, Pattern};
+use driver::{POLICIES, Row, run};
 
 const SEEDS: u64 = 20;
 /// Seeds apart from those of the other tests, so that the scheduler's constants can't be fitted to them.
@@ -68,12 +68,12 @@
 /// For each scheduler compared, the mean over the seeds of a figure taken from its rows.
 fn mean_by_chooser(all: &[Vec<Vec<Row>>], get: impl Fn(&[Row]) -> f64) -> Vec<f64> {
     let mean = |way: usize| all.iter().map(|ways| get(&ways[way])).sum::<f64>() / all.len() as f64;
-    (0..CHOOSERS.len()).map(mean).collect()
+    (0..POLICIES.len()).map(mean).collect()
 }
 
 fn check_promise(promise: &Promise) {
     let pattern = find_pattern(promise.pattern);
-    let all = for_each_seed(|seed| CHOOSERS.map(|(_, way)| run(pattern, seed, way)).to_vec());
+    let all = for_each_seed(|seed| POLICIES.map(|(_, way)| run(pattern, seed, way)).to_vec());
     let top = mean_by_chooser(&all, |rows| rows[0].attainment_awake);
     let goodput =
         mean_by_chooser(&all, |rows| rows.iter().map(|row| row.goodput_tokens as f64).sum());
@@ -132,10 +132,10 @@
 #[test]
 fn can_shield_neighbours_of_a_hot_caller() {
     let hot = find_pattern("hot-caller");
-    let calm = hot.calm();
+    let calm = hot.without_hot_caller();
     let all = for_each_seed(|seed| {
-        let beside = CHOOSERS.map(|(_, way)| run(hot, seed, way));
-        (beside.to_vec(), run(&calm, seed, CHOOSERS[2].1))
+        let beside = POLICIES.map(|(_, way)| run(hot, seed, way));
+        (beside.to_vec(), run(&calm, seed, POLICIES[2].1))
     });
     let (beside, alone): (Vec<_>, Vec<_>) = all.into_iter().unzip();
     for (index, class) in CLASSES.iter().enumerate() {
@@ -154,10 +154,10 @@
 #[test]
 fn serves_the_lowest_class_whole_answers_in_overload() {
     let (overload, lowest) = (find_pattern("overload"), CLASSES.len() - 1);
-    let time = COUNTED.end - COUNTED.start;
+    let time = MEASURED_CALLS.end - MEASURED_CALLS.start;
     let promised = NODES as f64 * time / (CLASSES[lowest].longest_wait + SLOT_WAIT);
     let served =
-        for_seeds(HELD_OUT_SEEDS, |seed| run(overload, seed, CHOOSERS[2].1)[lowest].served);
+        for_seeds(HELD_OUT_SEEDS, |seed| run(overload, seed, POLICIES[2].1)[lowest].served);
     println!("{served:?} whole answers, {promised:.1} turns");
     let least = served.iter().min().copied().unwrap_or(0);
     assert!(least as f64 >= promised / 2.0, "{least} whole answers of {promised:.1} turns");
