--- a/components/policy/src/health.rs
+++ b/components/policy/src/health.rs
@@ -72,7 +72,7 @@
     }
 
     /// Records that the caller of an attempt that was sent at `sent` gave up, while the server has begun no
-    /// answer since. That is no chance, so it ejects the server at once. Of several such attempts that were
+    /// answer since. That is no coincidence, so it ejects the server at once. Of several such attempts that were
     /// there together only the first counts: the others show the same stall.
     pub(crate) fn record_stall(&mut self, sent: Instant, now: Instant, jitter: f64) {
         if self.ejected_at.is_some_and(|ejected| sent < ejected) {
--- a/components/policy/src/mechanism.rs
+++ b/components/policy/src/mechanism.rs
@@ -10,7 +10,7 @@
         Yielding = "yielding",
         /// Requests that can't be served in time are refused on arrival.
         EarlyRefusal = "early-refusal",
-        /// A class that hasn't been served for its longest wait is served out of order.
+        /// A class that hasn't been served for its longest wait is served ahead of its turn.
         LongestWait = "longest-wait",
         /// The number of usable slots of a backend server follows its token intervals.
         AdaptiveLimit = "adaptive-limit",
--- a/components/policy/src/pool.rs
+++ b/components/policy/src/pool.rs
@@ -19,10 +19,11 @@
     pub(crate) tier: u8,
     /// Requests that can still meet their first-token target or whose answer has begun; served first.
     pub(crate) on_time: Lanes,
-    /// Requests that miss it.
+    /// Requests that will miss it or have missed it.
     pub(crate) late: Lanes,
     pub(crate) throughput: Throughput,
-    /// Epoch in which its first request got no slot.
+    /// Epoch of the scheduler in which its first request got no slot; it isn't tried again in that epoch. 0 if
+    /// it may be tried.
     pub(crate) blocked_epoch: u64,
     /// Highest counter of the lanes served so far.
     pub(crate) last_counter: u64,
@@ -70,7 +71,7 @@
     pub(crate) isolation: Isolation,
     /// Sorted by tier, then class.
     pub(crate) queues: Vec<Queue>,
-    /// Epoch in which none of its servers had a slot for this node.
+    /// Epoch of the scheduler in which none of its servers had a slot for this node; 0 if there was none.
     pub(crate) full_epoch: u64,
     /// Number of requests that belong to it, waiting or sent.
     pub(crate) jobs: usize,
--- a/components/policy/src/quarantine.rs
+++ b/components/policy/src/quarantine.rs
@@ -32,7 +32,7 @@
 const SWEEP_INTERVAL: Duration = Duration::from_secs(10);
 /// Requests for which evidence is kept at once.
 const MAX_SUSPECTS: usize = 2_048;
-/// Crashes that are kept for one request.
+/// Crashes that are kept for one request, the latest ones.
 const MAX_CRASHES: usize = 8;
 /// Suspects in one message to another node.
 const PAGE_SIZE: usize = 128;
@@ -41,7 +41,7 @@
     /// A server crashed while it ran a request.
     #[derive(Copy, Eq)]
     pub struct Crash {
-        /// Key of the server process; another one after each restart, and the same on all nodes.
+        /// Key of one run of the server process: it changes with each restart and is the same on all nodes.
         pub instance: u32,
         /// When the request was sent to it.
         pub sent: Instant,
@@ -62,8 +62,8 @@
 }
 
 impl Crash {
-    /// Whether it has no cause outside the request in common with an earlier crash: it came clearly later, or
-    /// the request was only sent after the earlier one.
+    /// Whether it can't share a cause outside the request with an earlier crash: it came clearly later, or the
+    /// request was only sent after the earlier one.
     fn is_distinct_from(&self, earlier: &Crash) -> bool {
         self.at > earlier.at + COMMON_CAUSE_WINDOW || self.sent > earlier.at
     }
--- a/components/policy/src/throttle.rs
+++ b/components/policy/src/throttle.rs
@@ -5,10 +5,11 @@
 //! it by the number of nodes they know exceed it while they disagree about that number, or when all of them
 //! accrue one request and send it at once.
 //!
-//! The seeds, to which all nodes report, divide the limit in equal parts, whether they can reach each other or not. A seed accrues whole
-//! requests and hands them, as permits, to the nodes that report to it. A permit is valid for a second, and a
-//! node sends nothing to such a server without one. So the requests that all nodes send in a time are bounded
-//! by the permits that the seeds accrued in it, whatever each node knows of the others.
+//! The seeds are the few nodes to which all others report. They divide the limit in equal parts, whether they
+//! can reach each other or not. A seed accrues whole requests and hands them, as permits, to the nodes that
+//! report to it. A permit is valid for a second, and a node sends nothing to such a server without one. So the
+//! number of requests that all nodes send in a time is bounded by the permits that the seeds accrued in it,
+//! whatever each node knows of the others.
 
 use std::collections::{HashMap, VecDeque};
 use std::time::{Duration, Instant};
@@ -20,14 +21,14 @@
 /// Least requests a second that all nodes together send to a server, whatever its limit, so that they notice
 /// when it ends.
 const MIN_RATE: f64 = 0.25;
-/// Relative change of a limit from which on other nodes are told.
+/// Relative change of a limit from which on it is reported to other nodes.
 const REPORTED_CHANGE: f64 = 0.05;
 
 derives::data! {
     /// The rate limit that a server last announced.
     #[derive(Copy)]
     pub struct RateLimit {
-        /// Key of the server's name.
+        /// Key of the server, derived from its name.
         pub server: u32,
         /// Requests a second that it takes from all nodes; none if it no longer has a limit.
         pub rate: Option<f64>,
@@ -36,7 +37,7 @@
     }
 }
 
-/// The rate limits of all servers, with the version at which each last changed.
+/// The rate limits of the servers that announced one, with the version at which each last changed.
 #[derive(Debug, Default)]
 pub struct Throttle {
     limits: HashMap<u32, (RateLimit, u64)>,
@@ -105,7 +106,7 @@
         self.version
     }
 
-    /// The limits of all servers, those that ended included.
+    /// All recorded limits, those that ended included.
     ///
     /// ```
     /// assert_eq!(policy::Throttle::default().all().count(), 0);
--- a/components/policy/tests/quarantine.rs
+++ b/components/policy/tests/quarantine.rs
@@ -138,7 +138,7 @@
         for (kill, (servers, pause)) in kills.into_iter().enumerate() {
             now += Duration::from_millis(pause);
             for request in 0..requests {
-                // A request comes with every other kill and is tried again at the next one.
+                // Each request runs during two consecutive kills, as its caller sends it again after the first.
                 let content = (kill as u64 / 2) * requests + request;
                 let server = kill as u32 * 100 + request as u32 % servers;
                 quarantine.record_crash(content, Crash { instance: server, sent: now, at: now }, now);
