--- a/components/forward/src/attempt.rs
+++ b/components/forward/src/attempt.rs
@@ -243,7 +243,7 @@
         return Err(AttemptError::Lost("the answer isn't a stream of events".to_string()));
     }
     let max_buffered =
-        if state.disabled.is_enabled(Mechanism::AnswerBuffering) { MAX_BUFFERED_BYTES } else { 0 };
+        if state.switches.is_on(Mechanism::AnswerBuffering) { MAX_BUFFERED_BYTES } else { 0 };
     let mut all = BytesMut::new();
     while let Some(chunk) = reply.next_chunk().await? {
         all.extend_from_slice(&chunk.bytes);
--- a/components/forward/src/follow.rs
+++ b/components/forward/src/follow.rs
@@ -121,7 +121,7 @@
 /// it. The node can't tell whether the store was down, in which case their entries may only have expired.
 fn doubt_missing_servers<A: Adapter>(state: &State<A>) {
     let unobserved = state.seeds_lost_store.get() && state.from_peer.get();
-    if unobserved && state.disabled.is_enabled(Mechanism::OutageGrace) {
+    if unobserved && state.switches.is_on(Mechanism::OutageGrace) {
         state.roster.borrow_mut().away();
     }
 }
@@ -136,7 +136,7 @@
 }
 
 fn record_failure<A: Adapter>(state: &State<A>, source: Source, cause: &StoreError) {
-    if source == Source::Store && state.disabled.is_enabled(Mechanism::OutageGrace) {
+    if source == Source::Store && state.switches.is_on(Mechanism::OutageGrace) {
         state.roster.borrow_mut().away();
     }
     if matches!(cause, StoreError::LostByPeer(_)) {
@@ -238,7 +238,7 @@
         )));
     }
     match update.returned_ms.map(|ago| Duration::from_millis(ago.into())) {
-        Some(ago) if state.disabled.is_enabled(Mechanism::OutageGrace) => {
+        Some(ago) if state.switches.is_on(Mechanism::OutageGrace) => {
             state.roster.borrow_mut().doubt(now.checked_sub(ago).unwrap_or(now));
         }
         _ => state.roster.borrow_mut().answered(now),
--- a/components/forward/src/lib.rs
+++ b/components/forward/src/lib.rs
@@ -80,7 +80,7 @@
             log::warn!(without = disabled.as_str(); "mechanisms are disabled");
         }
         follow::start(&state);
-        if state.disabled.is_enabled(Mechanism::LoadGossip) {
+        if state.switches.is_on(Mechanism::LoadGossip) {
             gossip::start(&state);
         }
         state.driver.start();
--- a/components/forward/src/limits.rs
+++ b/components/forward/src/limits.rs
@@ -90,7 +90,7 @@
 /// Sets in the scheduler which servers have named a limit, and so need permits. Does nothing while gossip is
 /// disabled: without it no permits are issued, and the scheduler would never send these servers a request.
 pub(crate) fn apply_to_scheduler<A: Adapter>(state: &State<A>) {
-    if !state.disabled.is_enabled(Mechanism::LoadGossip) {
+    if !state.switches.is_on(Mechanism::LoadGossip) {
         return;
     }
     let registry = state.registry.borrow();
--- a/components/forward/src/mechanism.rs
+++ b/components/forward/src/mechanism.rs
@@ -23,30 +23,31 @@
     }
 }
 
-/// The mechanisms that a node disables.
+/// Which mechanisms are on; all are by default.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub(crate) struct Disabled {
-    /// Those of the scheduler.
-    pub(crate) policy: Vec<policy::Mechanism>,
-    own: Vec<Mechanism>,
+pub(crate) struct Switches {
+    /// Mechanisms of the scheduler that are off.
+    pub(crate) policy_off: Vec<policy::Mechanism>,
+    /// Mechanisms of the proxy that are off.
+    own_off: Vec<Mechanism>,
 }
 
-impl Disabled {
-    /// Parses the words of the settings; the error lists all known words.
+impl Switches {
+    /// Parses the words for the mechanisms to turn off; the error lists all known words.
     pub(crate) fn parse(words: &[String]) -> Result<Self, String> {
-        let mut disabled = Disabled::default();
+        let mut switches = Switches::default();
         for word in words {
             match (Mechanism::from_str(word), policy::Mechanism::from_str(word)) {
-                (Ok(own), _) => disabled.own.push(own),
-                (_, Ok(mechanism)) => disabled.policy.push(mechanism),
+                (Ok(own), _) => switches.own_off.push(own),
+                (_, Ok(mechanism)) => switches.policy_off.push(mechanism),
                 (Err(own), Err(policy)) => return Err(format!("{own}, {policy}")),
             }
         }
-        Ok(disabled)
+        Ok(switches)
     }
 
-    /// Whether a mechanism of the proxy is in use.
-    pub(crate) fn is_enabled(&self, mechanism: Mechanism) -> bool {
-        !self.own.contains(&mechanism)
+    /// Whether a mechanism of the proxy is on.
+    pub(crate) fn is_on(&self, mechanism: Mechanism) -> bool {
+        !self.own_off.contains(&mechanism)
     }
 }
--- a/components/forward/src/node.rs
+++ b/components/forward/src/node.rs
@@ -6,7 +6,7 @@
 
 use serde::Deserialize;
 
-use crate::mechanism::Disabled;
+use crate::mechanism::Switches;
 
 derives::data! {
     /// A node's own settings.
@@ -151,7 +151,7 @@
         }
         for word in &node.disabled {
             let (origin, word) = (origin.to_string(), word.clone());
-            Disabled::parse(std::slice::from_ref(&word)).map_err(|known| Error::Mechanism {
+            Switches::parse(std::slice::from_ref(&word)).map_err(|known| Error::Mechanism {
                 origin,
                 word,
                 known,
@@ -160,9 +160,9 @@
         Ok(node)
     }
 
-    /// The mechanisms that the node disables.
-    pub(crate) fn disabled_mechanisms(&self) -> Disabled {
-        Disabled::parse(&self.disabled).unwrap_or_default()
+    /// Which mechanisms are on.
+    pub(crate) fn switches(&self) -> Switches {
+        Switches::parse(&self.disabled).unwrap_or_default()
     }
 
     /// Region of the node's failure domain; empty if it isn't known.
--- a/components/forward/src/state.rs
+++ b/components/forward/src/state.rs
@@ -19,7 +19,7 @@
 use crate::crossing::Crossing;
 use crate::gossip::Gossip;
 use crate::limits::{self, Limits};
-use crate::mechanism::{Disabled, Mechanism as Own};
+use crate::mechanism::{Mechanism as Own, Switches};
 use crate::node::Node;
 use crate::registry::Registry;
 use crate::replica::Replica;
@@ -56,8 +56,8 @@
 /// Shared state of one node.
 pub(crate) struct State<A: Adapter> {
     node: RefCell<Rc<Node>>,
-    /// Mechanisms that the node's settings disabled when it started.
-    pub(crate) disabled: Disabled,
+    /// Which mechanisms are on, by the node's settings when it started.
+    pub(crate) switches: Switches,
     pub(crate) clock: clock::Runtime,
     pub(crate) adapter: Protocols<A>,
     pub(crate) driver: Rc<Turns>,
@@ -122,8 +122,8 @@
             .with_disabled(Mechanism::EarlyRefusal)
             .with_disabled(Mechanism::Preemption);
         scheduler.set_limits(scheduler_limits(&node));
-        let disabled = node.disabled_mechanisms();
-        for mechanism in &disabled.policy {
+        let switches = node.switches();
+        for mechanism in &switches.policy_off {
             scheduler = scheduler.with_disabled(*mechanism);
         }
         let mut registry = Registry::default();
@@ -136,7 +136,7 @@
         Rc::new(State {
             freshness: RefCell::new(Freshness::new(node.max_proof_age())),
             node: RefCell::new(Rc::new(node)),
-            disabled,
+            switches,
             clock,
             adapter,
             driver: Turns::new(scheduler, clock),
@@ -187,7 +187,7 @@
     /// The sources that this node asks for settings and servers.
     pub(crate) fn sources(&self) -> Sources {
         let node = self.node();
-        let seeds = if self.disabled.is_enabled(Own::Seeds) { &node.seeds[..] } else { &[] };
+        let seeds = if self.switches.is_on(Own::Seeds) { &node.seeds[..] } else { &[] };
         Sources::new(&node.name, node.peers, seeds, self.clock.now())
     }
 
@@ -229,7 +229,7 @@
     /// Applies the work of all nodes, as summed by this node or the peer that it asks.
     pub(crate) fn set_fleet_work(&self, work: Work) {
         self.fleet_nodes.set(work.nodes.max(1));
-        let bounded = self.disabled.is_enabled(Own::RegionalAffinity);
+        let bounded = self.switches.is_on(Own::RegionalAffinity);
         let crosses = !bounded || self.crossing.update_allowed(work.kib_per_s);
         self.driver.scheduler.borrow_mut().set_cross_region(crosses);
         if work.nodes > 1 {
