--- a/components/forward/src/mechanism.rs
+++ b/components/forward/src/mechanism.rs
@@ -11,7 +11,7 @@
         /// Nodes ask seeds for settings and servers; otherwise each node reads the store.
         Seeds = "seeds",
         /// An interrupted stream is continued by another server where its route allows that.
-        StreamResumption = "resumption",
+        Resumption = "resumption",
         /// Answers that aren't streams are buffered and passed on once they are complete, so that
         /// an interrupted one can be retried.
         AnswerBuffering = "whole-answers",
--- a/components/forward/src/stream.rs
+++ b/components/forward/src/stream.rs
@@ -147,7 +147,7 @@
                 self.active.record_failure(life.attempt(), &server, &error);
             }
             let ending = error.ending();
-            let enabled = self.active.state.switches.is_on(Mechanism::StreamResumption);
+            let enabled = self.active.state.switches.is_on(Mechanism::Resumption);
             let resumable = enabled && !matches!(error, AttemptError::OutOfOrder(_));
             let Some(proof) = self.active.received.repeatable().filter(|_| resumable) else {
                 self.active.place.end(ending);
