--- a/components/policy/src/admit.rs
+++ b/components/policy/src/admit.rs
@@ -102,7 +102,7 @@
     pub(crate) fn remaining_tokens(&self, pending: &Pending, quantile: f64) -> u32 {
         let request = &pending.request;
         let limit = request.max_tokens.unwrap_or(u32::MAX).saturating_sub(pending.produced).max(1);
-        if !self.disabled.lacks(Mechanism::LengthEstimates) {
+        if !self.switches.is_on(Mechanism::LengthEstimates) {
             return 128.min(limit);
         }
         let (class, workspace) = (request.class, request.workspace);
@@ -115,7 +115,7 @@
         let tokens = self.remaining_tokens(pending, 0.5);
         let service = self.pools[pending.pool]
             .service_seconds(self.remaining_tokens(pending, LENGTH_QUANTILE));
-        let fit = self.disabled.lacks(Mechanism::DeadlineFit);
+        let fit = self.switches.is_on(Mechanism::DeadlineFit);
         let pending = &mut self.jobs[job];
         pending.tokens = tokens;
         let deadline = pending.request.deadline;
@@ -134,7 +134,7 @@
         let margin =
             Duration::from_secs_f64(self.pools[pool].first_token_time * FIRST_TOKEN_MARGIN);
         let late_at = pending.request.arrived + target.saturating_sub(margin);
-        let late = !has_tokens && late_at <= now && self.disabled.lacks(Mechanism::Yielding);
+        let late = !has_tokens && late_at <= now && self.switches.is_on(Mechanism::Yielding);
         let lane = self.lane_key(workspace);
         let counter = self.raise_counters(pool, tier, class, lane);
         let open = self.has_in_flight_room(workspace);
@@ -144,7 +144,7 @@
         queue.blocked_epoch = 0;
         let pending = &mut self.jobs[job];
         pending.stage = Stage::Waiting { late };
-        let yields = !late && !has_tokens && self.disabled.lacks(Mechanism::Yielding);
+        let yields = !late && !has_tokens && self.switches.is_on(Mechanism::Yielding);
         let timer = if yields { late_at.min(pending.latest_send) } else { pending.latest_send };
         pending.timer = Some(timer);
         self.timers.insert((timer, job));
@@ -160,7 +160,7 @@
         class: ids::Class,
         lane: ids::Workspace,
     ) -> u64 {
-        if !self.disabled.lacks(Mechanism::Fairness) {
+        if !self.switches.is_on(Mechanism::Fairness) {
             return 0;
         }
         let busy = |class: ids::Class| {
@@ -242,7 +242,7 @@
     /// Whether a request will be sent in time because its class reaches its longest wait: it is the only
     /// one of its class, and the longest wait ends before it must be sent.
     pub(crate) fn served_by_longest_wait(&self, pending: &Pending) -> bool {
-        if !self.disabled.lacks(Mechanism::LongestWait) {
+        if !self.switches.is_on(Mechanism::LongestWait) {
             return false;
         }
         let class = pending.request.class;
@@ -257,7 +257,7 @@
     /// The retry delay for a request that can't be served in time; none if it can.
     fn late_retry_after(&self, job: ids::Job, now: Instant) -> Option<Duration> {
         let pending = &self.jobs[job];
-        let early_refusal = self.disabled.lacks(Mechanism::EarlyRefusal);
+        let early_refusal = self.switches.is_on(Mechanism::EarlyRefusal);
         let wait = self.forecast_wait(pending, Some(self.lane_key(pending.request.workspace)), now);
         let left = pending.latest_send.saturating_duration_since(now).as_secs_f64();
         let too_long = wait > left * FORECAST_MARGIN && !self.served_by_longest_wait(pending);
@@ -309,7 +309,7 @@
             let longest = lanes().max_by_key(|lanes| lanes.longest_lane());
             return late().or(longest)?.victim();
         }
-        if !self.disabled.lacks(Mechanism::Fairness) {
+        if !self.switches.is_on(Mechanism::Fairness) {
             return None;
         }
         let longest = lanes().max_by_key(|lanes| lanes.longest_lane())?;
--- a/components/policy/src/attempt.rs
+++ b/components/policy/src/attempt.rs
@@ -67,7 +67,7 @@
         if !repeatable || pending.attempts >= max_attempts || now >= pending.latest_send {
             return false;
         }
-        !self.disabled.lacks(Mechanism::RetryBudget) || self.retry_budget(model).try_take(1.0)
+        !self.switches.is_on(Mechanism::RetryBudget) || self.retry_budget(model).try_take(1.0)
     }
 
     /// Frees the slot of an ended attempt, updates the server's health, and corrects the charge to the
--- a/components/policy/src/dispatch.rs
+++ b/components/policy/src/dispatch.rs
@@ -77,7 +77,7 @@
         for key in self.pools.keys().collect::<Vec<_>>() {
             self.update_isolation(key, now);
             self.update_capacity(key);
-            if self.disabled.lacks(Mechanism::EarlyRefusal) {
+            if self.switches.is_on(Mechanism::EarlyRefusal) {
                 self.refuse_late(key, now);
             }
         }
@@ -105,7 +105,7 @@
                 continue;
             }
             let shared = users.iter().filter(|user| self.pools[**user].servers.contains(server));
-            let node_slots = f64::from(state.node_slots(self.disabled));
+            let node_slots = f64::from(state.node_slots(self.switches));
             rate += node_slots / state.token_interval() / shared.count() as f64;
             intervals.push(state.token_interval());
             firsts.extend(state.first_token_time());
@@ -200,7 +200,7 @@
 
     /// Whether the class of a queue has gone unserved for its longest wait.
     fn is_overdue(&self, queue: &Queue, now: Instant) -> bool {
-        if !self.disabled.lacks(Mechanism::LongestWait) {
+        if !self.switches.is_on(Mechanism::LongestWait) {
             return false;
         }
         let since = self.unserved.get(queue.class).and_then(|unserved| unserved.since);
@@ -221,9 +221,9 @@
             return Choice::Server(chosen.server);
         }
         let mut candidates = std::mem::take(&mut self.scratch);
-        let (pending, disabled) = (&self.jobs[job], self.disabled);
+        let (pending, switches) = (&self.jobs[job], self.switches);
         let free = self.collect_candidates(&mut candidates, pending, overdue, now);
-        let picked = pick::pick(&candidates, pending.request.prefix, &mut self.rng, disabled);
+        let picked = pick::pick(&candidates, pending.request.prefix, &mut self.rng, switches);
         let choice = picked.map_or(if free { Choice::Busy } else { Choice::Full }, Choice::Server);
         candidates.clear();
         self.scratch = candidates;
@@ -248,7 +248,7 @@
         let ejected = pool.servers.iter().filter(|key| self.is_ejected(**key, now)).count();
         // If all servers of a pool are ejected, the fault is more likely at this node, so none is excluded.
         let all_ejected = ejected == pool.servers.len();
-        let link = self.disabled.lacks(Mechanism::LinkBudget);
+        let link = self.switches.is_on(Mechanism::LinkBudget);
         let urgent = self.may_exceed_share(pending, now);
         let (mut near, mut far, mut free) = (false, 0, false);
         for key in &pool.servers {
@@ -258,9 +258,9 @@
             }
             let here = state.terms.region == pending.request.region;
             near |= here && !state.leaving() && !self.is_ejected(*key, now);
-            let has_slot = state.has_free_slot(self.disabled);
+            let has_slot = state.has_free_slot(self.switches);
             free |= has_slot;
-            let exceeds_share = !has_slot && urgent && state.has_spare_slots(now, self.disabled);
+            let exceeds_share = !has_slot && urgent && state.has_spare_slots(now, self.switches);
             if !has_slot && !exceeds_share {
                 continue;
             }
@@ -272,19 +272,19 @@
             let interval = state.token_interval();
             let straggles = interval > pool.token_interval * STRAGGLER_RATIO;
             let tokens = if straggles { straggler_tokens } else { tokens };
-            let load = state.load(now, self.disabled);
+            let load = state.load(now, self.switches);
             let excess = (load + 1.0 - f64::from(state.slots())).max(0.0);
             let queue_seconds = excess * pool.service_seconds(TYPICAL_ANSWER_TOKENS)
                 / f64::from(state.slots().max(1));
             let time = queue_seconds
                 + state.first_token_time().unwrap_or(pool.first_token_time)
                 + interval * f64::from(tokens);
-            if time > left && !overdue && self.disabled.lacks(Mechanism::DeadlineFit) {
+            if time > left && !overdue && self.switches.is_on(Mechanism::DeadlineFit) {
                 continue;
             }
             let load = load / f64::from(state.slots().max(1));
             let stall = if state.terms.prefill_rate.is_some()
-                || !self.disabled.lacks(Mechanism::Ejection)
+                || !self.switches.is_on(Mechanism::Ejection)
             {
                 0.0
             } else {
@@ -318,7 +318,7 @@
     /// peer unless the request's class is overdue.
     fn accepts(&self, state: &server::State, pending: &Pending, overdue: bool) -> bool {
         let peer_waits =
-            state.peer_waiting_tier(self.disabled).is_some_and(|waiting| waiting < pending.tier);
+            state.peer_waiting_tier(self.switches).is_some_and(|waiting| waiting < pending.tier);
         !state.leaving() && (!peer_waits || overdue)
     }
 
@@ -332,14 +332,14 @@
     /// Part of a server's recent attempts that failed; zero if failure rates are disabled.
     pub(crate) fn failure_rate(&self, state: &server::State, now: Instant) -> f64 {
         let enabled =
-            self.disabled.lacks(Mechanism::Ejection) && self.disabled.lacks(Mechanism::FailureRate);
+            self.switches.is_on(Mechanism::Ejection) && self.switches.is_on(Mechanism::FailureRate);
         if enabled { state.health.failure_rate(now) } else { 0.0 }
     }
 
     /// Whether a server is ejected after failures, or its reports have stopped.
     pub(crate) fn is_ejected(&self, server: ids::Server, now: Instant) -> bool {
         let state = &self.servers[server];
-        self.disabled.lacks(Mechanism::Ejection)
+        self.switches.is_on(Mechanism::Ejection)
             && (state.health.is_ejected(now) || state.reports_stopped(now))
     }
 
@@ -348,7 +348,7 @@
     pub(crate) fn is_excluded(&self, server: ids::Server, now: Instant) -> bool {
         let state = &self.servers[server];
         let testing = state.health.is_on_probation() && state.sent > 0;
-        self.is_ejected(server, now) || (self.disabled.lacks(Mechanism::Ejection) && testing)
+        self.is_ejected(server, now) || (self.switches.is_on(Mechanism::Ejection) && testing)
     }
 
     /// Whether a request may cross the link: it has no healthy server nearby or has waited long enough for
--- a/components/policy/src/engines.rs
+++ b/components/policy/src/engines.rs
@@ -91,7 +91,7 @@
     /// prefill cost.
     pub(crate) fn prefill_rates_known(&self, pending: &Pending) -> bool {
         let servers = &self.pools[pending.pool].servers;
-        self.disabled.lacks(Mechanism::PrefillCost)
+        self.switches.is_on(Mechanism::PrefillCost)
             && servers.iter().any(|key| self.servers[*key].terms.prefill_rate.is_some())
     }
 
@@ -103,7 +103,7 @@
         now: Instant,
     ) -> (Option<Estimate>, bool) {
         let pool = &self.pools[pending.pool];
-        let grouped = self.disabled.lacks(Mechanism::IsolationGroups);
+        let grouped = self.switches.is_on(Mechanism::IsolationGroups);
         let group = pool.isolation.class_group(self.pause_tolerance(pending)).filter(|_| grouped);
         let preferred = self.preferred_engines(pending, group, now);
         let copies = self.prefix_copies(pending, preferred, now);
@@ -146,7 +146,7 @@
         let state = &self.servers[member.server];
         let avoided =
             pending.avoid == Some(member.server) && self.pools[pending.pool].members.len() > 1;
-        let available = state.has_free_slot(self.disabled) && state.has_permit(now);
+        let available = state.has_free_slot(self.switches) && state.has_permit(now);
         available && !state.leaving() && !avoided
     }
 
@@ -160,7 +160,7 @@
         group: Option<Group>,
         now: Instant,
     ) -> [Option<ids::Server>; 2] {
-        if !self.disabled.lacks(Mechanism::PreferredEngine) {
+        if !self.switches.is_on(Mechanism::PreferredEngine) {
             return [None; 2];
         }
         let pool = &self.pools[pending.pool];
--- a/components/policy/src/mechanism.rs
+++ b/components/policy/src/mechanism.rs
@@ -55,17 +55,17 @@
     }
 }
 
-/// The set of mechanisms that are disabled.
+/// Which mechanisms are on; all are by default. Stores those that are off as a bit set.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Disabled(u32);
+pub(crate) struct Switches(u32);
 
-impl Disabled {
-    pub(crate) fn disable(&mut self, mechanism: Mechanism) {
+impl Switches {
+    pub(crate) fn turn_off(&mut self, mechanism: Mechanism) {
         self.0 |= 1 << mechanism as u32;
     }
 
-    /// Whether a mechanism is in use, that is, not in this set.
-    pub(crate) fn lacks(self, mechanism: Mechanism) -> bool {
+    /// Whether a mechanism is on.
+    pub(crate) fn is_on(self, mechanism: Mechanism) -> bool {
         self.0 & (1 << mechanism as u32) == 0
     }
 }
--- a/components/policy/src/pick.rs
+++ b/components/policy/src/pick.rs
@@ -11,7 +11,7 @@
 use rand::Rng;
 use rand::rngs::SmallRng;
 
-use crate::mechanism::{Disabled, Mechanism};
+use crate::mechanism::{Mechanism, Switches};
 
 /// Scores up to this multiple of the best one count as equal to it: about the error of a load that is a
 /// second old.
@@ -43,16 +43,16 @@
     candidates: &[Candidate],
     prefix: u64,
     rng: &mut SmallRng,
-    disabled: Disabled,
+    switches: Switches,
 ) -> Option<ids::Server> {
     let best = candidates.iter().min_by(|a, b| a.score().total_cmp(&b.score()))?;
     let bound = best.score() * NEAR_EQUAL;
-    if disabled.lacks(Mechanism::Affinity)
+    if switches.is_on(Mechanism::Affinity)
         && let Some(server) = affinity_server(candidates, prefix, bound)
     {
         return Some(server);
     }
-    if !disabled.lacks(Mechanism::TwoChoices) {
+    if !switches.is_on(Mechanism::TwoChoices) {
         return Some(best.server);
     }
     let near_equals = || candidates.iter().filter(|candidate| candidate.score() <= bound);
--- a/components/policy/src/preemption.rs
+++ b/components/policy/src/preemption.rs
@@ -139,10 +139,10 @@
 
     /// Whether a server probably has no free slot for this node.
     fn is_filled(&self, state: &server::State, now: Instant) -> bool {
-        let share_used = state.share.is_some() && state.sent >= state.node_slots(self.disabled);
+        let share_used = state.share.is_some() && state.sent >= state.node_slots(self.switches);
         share_used
             || state.is_full()
-            || state.load(now, self.disabled) + 1.0 > f64::from(state.slots())
+            || state.load(now, self.switches) + 1.0 > f64::from(state.slots())
     }
 
     /// Whether stopping a stream frees a useful slot, and the stream can resume wherever it is sent next
--- a/components/policy/src/prefix.rs
+++ b/components/policy/src/prefix.rs
@@ -81,13 +81,13 @@
         let in_region =
             |source: &ids::Server| self.servers[*source].terms.region == pending.request.region;
         let source =
-            usable.max_by_key(in_region).filter(|_| self.disabled.lacks(Mechanism::PrefixFetch));
+            usable.max_by_key(in_region).filter(|_| self.switches.is_on(Mechanism::PrefixFetch));
         Copies { preferred, known, source }
     }
 
     /// Tokens of a prompt's prefix that an engine is known to cache.
     fn cached_tokens(&self, pending: &Pending, server: ids::Server, now: Instant) -> u32 {
-        if !self.disabled.lacks(Mechanism::PrefixIndex) {
+        if !self.switches.is_on(Mechanism::PrefixIndex) {
             return 0;
         }
         self.prefixes.cached_tokens(&pending.request.shared, server, now)
--- a/components/policy/src/scheduler.rs
+++ b/components/policy/src/scheduler.rs
@@ -14,7 +14,7 @@
 use crate::fair::{self, Counters};
 use crate::isolation::GROUPS;
 use crate::length::Lengths;
-use crate::mechanism::{Disabled, Mechanism};
+use crate::mechanism::{Mechanism, Switches};
 use crate::pending::{Expected, Pending, Stage};
 use crate::pick::Candidate;
 use crate::pool::{Key, Member, Pool};
@@ -76,7 +76,7 @@
     pub(crate) highest_tier: u8,
     pub(crate) rng: SmallRng,
     pub(crate) jitter: slots::Jitter,
-    pub(crate) disabled: Disabled,
+    pub(crate) switches: Switches,
     /// A session's preferred engine may be in another region.
     pub(crate) cross_region: bool,
 }
@@ -134,7 +134,7 @@
             highest_tier: u8::MAX,
             rng: SmallRng::seed_from_u64(seed),
             jitter: slots::Jitter::new(seed),
-            disabled: Disabled::default(),
+            switches: Switches::default(),
             cross_region: true,
         }
         .with_limits()
@@ -152,7 +152,7 @@
     /// assert_eq!(scheduler.waiting(), 0);
     /// ```
     pub fn with_disabled(mut self, mechanism: Mechanism) -> Self {
-        self.disabled.disable(mechanism);
+        self.switches.turn_off(mechanism);
         self
     }
 
@@ -299,7 +299,7 @@
 
     /// Sets the sum of [`Scheduler::recent_engine_seconds`] over all nodes.
     pub fn set_fleet_engine_seconds(&mut self, seconds: [f64; GROUPS], now: Instant) {
-        if !self.disabled.lacks(Mechanism::FleetWork) {
+        if !self.switches.is_on(Mechanism::FleetWork) {
             return;
         }
         for pool in self.pools.values_mut() {
@@ -346,7 +346,7 @@
 
     /// The key of a workspace's lane; all workspaces share one if fairness is disabled.
     pub(crate) fn lane_key(&self, workspace: ids::Workspace) -> ids::Workspace {
-        if self.disabled.lacks(Mechanism::Fairness) { workspace } else { ids::Workspace::default() }
+        if self.switches.is_on(Mechanism::Fairness) { workspace } else { ids::Workspace::default() }
     }
 
     /// Charges tokens to a workspace and reorders its lanes.
@@ -356,7 +356,7 @@
         workspace: ids::Workspace,
         tokens: i64,
     ) {
-        if tokens == 0 || !self.disabled.lacks(Mechanism::Fairness) {
+        if tokens == 0 || !self.switches.is_on(Mechanism::Fairness) {
             return;
         }
         let class_weight = self.classes.get(class).map_or(1, |class| class.weight);
@@ -437,7 +437,7 @@
         let ticked = self.run_tick(now);
         self.run_timers(now);
         self.dispatch(now, actions);
-        if ticked && self.disabled.lacks(Mechanism::Preemption) {
+        if ticked && self.switches.is_on(Mechanism::Preemption) {
             self.stop_for_waiting(now, actions);
             self.stop_for_engine_queue(now, actions);
         }
--- a/components/policy/src/server.rs
+++ b/components/policy/src/server.rs
@@ -8,7 +8,7 @@
 
 use crate::health::Health;
 use crate::limit::Limit;
-use crate::mechanism::{Disabled, Mechanism};
+use crate::mechanism::{Mechanism, Switches};
 use crate::prefill::Estimator;
 use crate::priority::PerPriority;
 use crate::terms::{Report, Server, Share};
@@ -94,15 +94,15 @@
     }
 
     /// Requests that this node may have there at once.
-    pub(crate) fn node_slots(&self, disabled: Disabled) -> u32 {
+    pub(crate) fn node_slots(&self, switches: Switches) -> u32 {
         let slots = self.slots();
-        let shared = self.share.filter(|_| disabled.lacks(Mechanism::SlotSharing));
+        let shared = self.share.filter(|_| switches.is_on(Mechanism::SlotSharing));
         let slots = shared.map_or(slots, |share| share.slots.min(slots));
-        self.apply_adaptive_limit(slots, disabled)
+        self.apply_adaptive_limit(slots, switches)
     }
 
-    fn apply_adaptive_limit(&self, slots: u32, disabled: Disabled) -> u32 {
-        if disabled.lacks(Mechanism::AdaptiveLimit) {
+    fn apply_adaptive_limit(&self, slots: u32, switches: Switches) -> u32 {
+        if switches.is_on(Mechanism::AdaptiveLimit) {
             self.limit.usable_slots(slots)
         } else {
             slots
@@ -110,8 +110,8 @@
     }
 
     /// Whether this node may send it one more request.
-    pub(crate) fn has_free_slot(&self, disabled: Disabled) -> bool {
-        self.sent < self.node_slots(disabled)
+    pub(crate) fn has_free_slot(&self, switches: Switches) -> bool {
+        self.sent < self.node_slots(switches)
     }
 
     /// Whether a permit is left, if it has named a rate limit.
@@ -122,10 +122,10 @@
     /// Whether it seems to have a free slot, in this node's share or another's, and this node's requests
     /// don't exceed its share. So each node goes beyond its share by one request at most, which bounds by
     /// how much an engine may be overfilled.
-    pub(crate) fn has_spare_slots(&self, now: Instant, disabled: Disabled) -> bool {
-        self.sent <= self.node_slots(disabled)
-            && self.load(now, disabled) + 2.0
-                <= f64::from(self.apply_adaptive_limit(self.slots(), disabled))
+    pub(crate) fn has_spare_slots(&self, now: Instant, switches: Switches) -> bool {
+        self.sent <= self.node_slots(switches)
+            && self.load(now, switches) + 2.0
+                <= f64::from(self.apply_adaptive_limit(self.slots(), switches))
     }
 
     /// Whether the requests of this node and its peers occupy all slots, as far as known.
@@ -134,18 +134,18 @@
     }
 
     /// The highest tier that waits for it at a peer while it is full, as far as known.
-    pub(crate) fn peer_waiting_tier(&self, disabled: Disabled) -> Option<u8> {
-        let share = self.share.filter(|_| disabled.lacks(Mechanism::SlotSharing))?;
+    pub(crate) fn peer_waiting_tier(&self, switches: Switches) -> Option<u8> {
+        let share = self.share.filter(|_| switches.is_on(Mechanism::SlotSharing))?;
         share.waiting.filter(|_| self.is_full())
     }
 
     /// Estimated number of requests there now, from all nodes: its report, corrected by what this node sent
     /// since, and with the report's age more and more the requests that this node and its peers know of.
-    pub(crate) fn load(&self, now: Instant, disabled: Disabled) -> f64 {
+    pub(crate) fn load(&self, now: Instant, switches: Switches) -> f64 {
         let in_flight = f64::from(self.sent + self.share.map_or(0, |share| share.sent));
         let Some(report) = &self.report else { return in_flight };
         let reported = f64::from(report.running + report.queued);
-        if !disabled.lacks(Mechanism::LoadCorrection) {
+        if !switches.is_on(Mechanism::LoadCorrection) {
             return reported;
         }
         let age = now.saturating_duration_since(report.at).as_secs_f64();
--- a/components/policy/src/slots.rs
+++ b/components/policy/src/slots.rs
@@ -181,7 +181,7 @@
         unreported: Unreported,
         now: Instant,
     ) -> f64 {
-        if !self.disabled.lacks(Mechanism::SlotCounts) {
+        if !self.switches.is_on(Mechanism::SlotCounts) {
             return 0.0;
         }
         let slots = f64::from(state.slots().max(1));
--- a/components/policy/src/stall.rs
+++ b/components/policy/src/stall.rs
@@ -43,7 +43,7 @@
     /// waits as well.
     pub(crate) fn own_overdue(&self, state: &server::State, now: Instant) -> PerPriority {
         let mut overdue = PerPriority::default();
-        if !self.disabled.lacks(Mechanism::StallDetection) {
+        if !self.switches.is_on(Mechanism::StallDetection) {
             return overdue;
         }
         for pending in state.jobs.iter().filter_map(|job| self.jobs.get(*job)) {
@@ -85,7 +85,7 @@
     pub(crate) fn stalled(&self, pending: &Pending, server: ids::Server, now: Instant) -> bool {
         let Some(state) = self.servers.get(server) else { return false };
         let detects =
-            state.terms.prefill_rate.is_some() && self.disabled.lacks(Mechanism::StallDetection);
+            state.terms.prefill_rate.is_some() && self.switches.is_on(Mechanism::StallDetection);
         let idle = state.prefill.last_first_token() <= Some(pending.sent_at);
         detects && idle && self.overdue_by(pending, state, now) > STALL_SECONDS
     }
--- a/components/policy/src/status.rs
+++ b/components/policy/src/status.rs
@@ -72,7 +72,7 @@
             Some(Unused::Leaving)
         } else if self.is_ejected(server, now) {
             Some(Unused::Ejected)
-        } else if !state.has_free_slot(self.disabled) {
+        } else if !state.has_free_slot(self.switches) {
             Some(Unused::Full)
         } else if usual.is_some_and(|usual| state.token_interval() > usual * STRAGGLER_RATIO) {
             Some(Unused::Straggling)
@@ -81,8 +81,8 @@
         };
         Some(Status {
             sent: state.sent,
-            slots: state.node_slots(self.disabled),
-            load: state.load(now, self.disabled),
+            slots: state.node_slots(self.switches),
+            load: state.load(now, self.switches),
             interval: Duration::from_secs_f64(state.token_interval()),
             age: state.report_age(now),
             unused,
