--- a/components/forward/src/adapter.rs
+++ b/components/forward/src/adapter.rs
@@ -103,7 +103,8 @@
 
 /// The platform's HTTP conventions between the proxy and backend servers.
 pub trait ServerProtocol {
-    /// The headers of an attempt: the caller's, except those that only the proxy may set.
+    /// The headers of an attempt: the caller's end-to-end headers, in which those that only the proxy may
+    /// set are replaced by the values of `attempt`.
     fn request_headers(&self, head: &RequestHead, call: &Call, attempt: &Attempt<'_>) -> HeaderMap;
 
     /// Checks whether the head of a response belongs to `call` and is `server`'s answer to it.
--- a/components/forward/src/attempt.rs
+++ b/components/forward/src/attempt.rs
@@ -115,7 +115,7 @@
 /// A chunk of an answer.
 pub(crate) struct Chunk {
     pub(crate) bytes: Bytes,
-    /// Number of events in it; 1 if the answer isn't a stream.
+    /// Number of events with an id in it; 1 if the answer isn't a stream.
     pub(crate) events: u32,
 }
 
--- a/components/forward/src/events.rs
+++ b/components/forward/src/events.rs
@@ -7,9 +7,9 @@
 derives::data! {
     /// Consecutive whole events.
     pub(crate) struct Batch {
-        /// The events, and any comments between them.
+        /// The events, including those without an id, such as comments.
         pub(crate) bytes: Bytes,
-        /// Number of events.
+        /// Number of events that have an id.
         pub(crate) events: u32,
     }
 }
--- a/components/forward/src/intake.rs
+++ b/components/forward/src/intake.rs
@@ -172,7 +172,7 @@
     let session = shared.unwrap_or_else(|| xxh3_64(call.id.as_bytes()));
     let service = found.route.service(session).ok_or(Error::NoRoute)?;
     let mut registry = state.registry.borrow_mut();
-    let model = registry.model(service, call.model.as_deref());
+    let model = registry.requested_model(service, call.model.as_deref());
     let (class, workspace) =
         registry.class_and_workspace(&mut state.driver.scheduler.borrow_mut(), settings, found);
     let time_left = time_limit.saturating_sub(state.elapsed_since(arrived));
--- a/components/forward/src/lib.rs
+++ b/components/forward/src/lib.rs
@@ -131,7 +131,7 @@
     pub async fn drain(&self) -> Vec<String> {
         self.state.draining.set(true);
         self.callers.drain();
-        let grace = self.state.node().grace().saturating_sub(ABORT_MARGIN);
+        let grace = self.state.node().grace_period().saturating_sub(ABORT_MARGIN);
         let balancer_delay = BALANCER_DELAY.min(grace / 2);
         tokio::time::sleep(balancer_delay).await;
         let answered = async {
--- a/components/forward/src/mechanism.rs
+++ b/components/forward/src/mechanism.rs
@@ -15,8 +15,8 @@
         /// Answers that aren't streams are buffered and passed on once they are complete, so that
         /// an interrupted one can be retried.
         AnswerBuffering = "whole-answers",
-        /// A session's preferred engine is in the caller's region while the traffic between regions
-        /// would be high.
+        /// A session has a preferred engine in each region while one for all regions would cause too much
+        /// traffic between them.
         RegionalAffinity = "crossing",
         /// Nodes report to each other the prefill work that engines have queued.
         LoadGossip = "loads",
--- a/components/forward/src/node.rs
+++ b/components/forward/src/node.rs
@@ -47,7 +47,7 @@
         /// Open files and connections.
         pub descriptors: u64,
         /// Bandwidth of its network link in Mbit/s.
-        #[serde(default = "link_mbps")]
+        #[serde(default = "default_link_mbps")]
         pub link_mbps: f64,
     }
 
@@ -68,7 +68,7 @@
 /// Bytes per second in one Mbit/s.
 const BYTES_PER_MBPS: f64 = 125_000.0;
 
-fn link_mbps() -> f64 {
+fn default_link_mbps() -> f64 {
     DEFAULT_LINK_MBPS
 }
 
@@ -176,7 +176,7 @@
     }
 
     /// Time from being told to stop until the process has exited.
-    pub fn grace(&self) -> Duration {
+    pub fn grace_period(&self) -> Duration {
         Duration::from_secs_f64(self.promises.grace_s)
     }
 }
--- a/components/forward/src/registry.rs
+++ b/components/forward/src/registry.rs
@@ -64,13 +64,13 @@
     }
 
     /// Key of a region, which is created if it is new.
-    pub(crate) fn region(&mut self, name: &str) -> ids::Region {
+    pub(crate) fn region_key(&mut self, name: &str) -> ids::Region {
         key_or_insert(&mut self.regions, &mut self.by_region, name)
     }
 
     /// Key of the model that a request needs. If no server of the service lists the model, the key stands
     /// for the service as a whole.
-    pub(crate) fn model(&mut self, service: &str, model: Option<&str>) -> ids::Model {
+    pub(crate) fn requested_model(&mut self, service: &str, model: Option<&str>) -> ids::Model {
         let name = (service.to_string(), model.unwrap_or_default().to_string());
         if let Some(known) = self.by_model.get(&name) {
             return *known;
@@ -116,7 +116,7 @@
         let mut models = vec![self.model_key(&entry.service, "")];
         models.extend(entry.models.iter().map(|model| self.model_key(&entry.service, model)));
         policy::Server {
-            region: self.region(region),
+            region: self.region_key(region),
             domain: key_or_insert(&mut self.domains, &mut self.by_domain, &entry.domain),
             salt: xxh3_64(entry.name.as_bytes()),
             slots: entry.slots,
--- a/components/forward/src/serve.rs
+++ b/components/forward/src/serve.rs
@@ -216,7 +216,7 @@
         }
     }
 
-    /// Whether a server is listed and isn't shutting down, so that a refused connection means a crash.
+    /// Whether a server is listed and isn't shutting down, so that it has crashed if it doesn't run.
     fn should_be_running(&self, server: &str) -> bool {
         self.state.roster.borrow().get(server).is_some_and(|entry| !entry.leaving)
     }
--- a/components/forward/src/state.rs
+++ b/components/forward/src/state.rs
@@ -127,7 +127,7 @@
             scheduler = scheduler.with_disabled(*mechanism);
         }
         let mut registry = Registry::default();
-        let region = registry.region(node.region());
+        let region = registry.region_key(node.region());
         let listener_limits = listen::Limits {
             connections: (node.room.descriptors / 2) as usize,
             ..listen::Limits::default()
@@ -239,8 +239,8 @@
         }
     }
 
-    /// Whether callers should use this node: it has settings, and no read has failed since they were
-    /// proved to be the newest.
+    /// Whether callers should use this node: it has settings, no read has failed since they were proved
+    /// to be the newest, and it isn't draining.
     ///
     /// A node that the store rejects can serve for a few seconds more on its last proof. It reports at
     /// once that it isn't ready, so that the load balancer has moved its callers to other nodes before
