--- a/components/turns/src/crashes.rs
+++ b/components/driver/src/crashes.rs
@@ -10,7 +10,7 @@
 use std::time::{Duration, Instant};
 
 use clock::Clock;
-use link::Link;
+use http_client::Link;
 use policy::{Crash, Quarantine, Refusal};
 
 use crate::place::Refused;
@@ -51,7 +51,7 @@
     /// For a node that draws its times by a seed.
     ///
     /// ```
-    /// let crashes = turns::Crashes::new(7, clock::Runtime::new());
+    /// let crashes = driver::Crashes::new(7, clock::Runtime::new());
     /// assert!(crashes.pass(1).is_ok());
     /// ```
     pub fn new(seed: u64, clock: clock::Runtime) -> Rc<Self> {
--- a/components/turns/src/fingerprint.rs
+++ b/components/driver/src/fingerprint.rs
@@ -7,8 +7,8 @@
 /// Hash of the fields of a request that say what it asks and for whom.
 ///
 /// ```
-/// let draft = turns::fingerprint(&[b"choir", b"/draft", b"an arc"]);
-/// assert_ne!(draft, turns::fingerprint(&[b"choir", b"/draft", b"a caption"]));
+/// let draft = driver::fingerprint(&[b"choir", b"/draft", b"an arc"]);
+/// assert_ne!(draft, driver::fingerprint(&[b"choir", b"/draft", b"a caption"]));
 /// ```
 pub fn fingerprint(fields: &[&[u8]]) -> u64 {
     let mut hash = Xxh3::new();
--- a/components/turns/src/lib.rs
+++ b/components/driver/src/lib.rs
@@ -36,7 +36,7 @@
     /// Drives a scheduler.
     ///
     /// ```
-    /// let turns = turns::Turns::new(policy::Scheduler::with_seed(1), clock::Runtime::new());
+    /// let turns = driver::Turns::new(policy::Scheduler::with_seed(1), clock::Runtime::new());
     /// assert_eq!(turns.scheduler.borrow().waiting(), 0);
     /// ```
     pub fn new(scheduler: Scheduler, clock: clock::Runtime) -> Rc<Self> {
--- a/components/engine/src/client.rs
+++ b/components/engine/src/client.rs
@@ -3,7 +3,7 @@
 use actix_http::header::{HeaderName, HeaderValue};
 use actix_http::{Method, RequestHead, ResponseHead, Uri};
 use bytes::{Bytes, BytesMut};
-use link::{Body, Link, Pool};
+use http_client::{Body, Link, Pool};
 use serde::Deserialize;
 use tokio::time::Instant;
 
@@ -317,7 +317,7 @@
     let mut head = RequestHead::default();
     head.method = Method::POST;
     head.uri = call.path.parse::<Uri>().map_err(|cause| cause.to_string())?;
-    head.set_connection_type(link::connection(call.fresh));
+    head.set_connection_type(http_client::connection(call.fresh));
     let mut headers = vec![
         ("host", call.address.clone()),
         ("content-type", call.media.clone()),
--- a/components/forward/src/attempt.rs
+++ b/components/forward/src/attempt.rs
@@ -8,8 +8,8 @@
 use bytes::{Bytes, BytesMut};
 use catalog::Entry;
 use clock::Clock;
-use life::Unsent;
-use link::{Body, Link};
+use http_client::{Body, Link};
+use lifecycle::Unsent;
 use policy::Ending;
 
 use crate::adapter::{Adapter, Attempt, ServerProtocol, StatedLimit, Verdict};
@@ -130,7 +130,7 @@
         if let Some(first) = self.first.take() {
             return Ok(Some(first));
         }
-        let lost = |cause: link::Error| AttemptError::Lost(cause.to_string());
+        let lost = |cause: http_client::Error| AttemptError::Lost(cause.to_string());
         while !self.ended {
             let Some(bytes) = self.body.next().await.map_err(lost)? else {
                 self.ended = true;
@@ -175,7 +175,7 @@
     };
     let head = request_head(state, received, server, last_event_id, fetch_from);
     let sent = state.clock.now();
-    let lost = |cause: link::Error| AttemptError::Lost(cause.to_string());
+    let lost = |cause: http_client::Error| AttemptError::Lost(cause.to_string());
     let (mut head, mut body) = link.exchange(head, received.body.clone()).await.map_err(lost)?;
     let mut mismatched = 0;
     loop {
@@ -305,7 +305,7 @@
     head.version = Version::HTTP_11;
     head.headers =
         state.adapter.servers.request_headers(received.head.head(), &received.call, &attempt);
-    head.set_connection_type(link::connection(false));
+    head.set_connection_type(http_client::connection(false));
     head
 }
 
--- a/components/forward/src/intake.rs
+++ b/components/forward/src/intake.rs
@@ -55,8 +55,8 @@
     }
 
     /// Proof that the request may run more than once, if its route allows that.
-    pub(crate) fn repeatable(&self) -> Option<life::Repeatable> {
-        life::Repeatable::when(self.route().kind.repeatable())
+    pub(crate) fn repeatable(&self) -> Option<lifecycle::Repeatable> {
+        lifecycle::Repeatable::when(self.route().kind.repeatable())
     }
 }
 
@@ -92,7 +92,7 @@
     let target = head.uri().path_and_query().map_or(call.path.as_str(), |target| target.as_str());
     let texts = [workspace, head.method().as_str(), &call.host, target].map(str::as_bytes);
     let [workspace, method, host, target] = texts;
-    turns::fingerprint(&[workspace, method, host, target, body])
+    driver::fingerprint(&[workspace, method, host, target, body])
 }
 
 /// The settings in force; waits for them at a node that is starting, which receives them within some
--- a/components/forward/src/serve.rs
+++ b/components/forward/src/serve.rs
@@ -8,9 +8,9 @@
 use actix_http::{ConnectionType, Request, Response};
 use catalog::Entry;
 use clock::Clock;
-use life::{Outcome, Reason, Sending, Waiting};
+use driver::{Place, Refused, Target};
+use lifecycle::{Outcome, Reason, Sending, Waiting};
 use policy::{Ending, Expected, Refusal};
-use turns::{Place, Refused, Target};
 
 use crate::adapter::{Adapter, CallerProtocol};
 use crate::answer::{Answer, Error};
@@ -102,7 +102,7 @@
     received: Received,
     open: OpenRequest<A>,
 ) -> Answer {
-    let mut waiting = Waiting::Fresh(life::Request::new(ids::Request::new()).admit().queue());
+    let mut waiting = Waiting::Fresh(lifecycle::Request::new(ids::Request::new()).admit().queue());
     let place = Place::new(&state.driver, received.request.clone());
     let sent = state.clock.now();
     let mut active = ActiveRequest {
@@ -198,7 +198,7 @@
         tokio::time::timeout(timeout, sending).await.unwrap_or(Err(AttemptError::TimedOut))
     }
 
-    /// Logs and counts a failed attempt, and lets [`turns::Crashes`] check whether the server crashed.
+    /// Logs and counts a failed attempt, and lets [`driver::Crashes`] check whether the server crashed.
     pub(crate) fn record_failure(&self, attempt: u32, server: &Entry, error: &AttemptError) {
         let (request, name) = (self.received.call.id.as_str(), server.name.as_str());
         let left_ms = self.received.time_left(&self.state).as_millis() as u64;
--- a/components/forward/src/state.rs
+++ b/components/forward/src/state.rs
@@ -7,12 +7,12 @@
 
 use catalog::{Book, Freshness, Roster};
 use clock::Clock;
-use link::{Kept, Pool};
+use driver::{Crashes, Turns};
+use http_client::{Kept, Pool};
 use policy::{Mechanism, Scheduler};
 use slab::Slab;
 use telemetry::Metrics;
 use tokio::sync::{Notify, watch};
-use turns::{Crashes, Turns};
 use wire::updates::Work;
 
 use crate::adapter::{Adapter, Protocols};
--- a/components/forward/src/stream.rs
+++ b/components/forward/src/stream.rs
@@ -8,7 +8,7 @@
 use bytes::Bytes;
 use clock::Clock;
 use futures_util::stream;
-use life::Streaming;
+use lifecycle::Streaming;
 use policy::Ending;
 
 use crate::adapter::Adapter;
@@ -27,7 +27,7 @@
 /// An answer that is being passed on from a server to a caller.
 pub(crate) struct Relay<A: Adapter> {
     active: ActiveRequest<A>,
-    life: Option<life::Request<Streaming>>,
+    life: Option<lifecycle::Request<Streaming>>,
     reply: Option<Box<PartialReply>>,
     /// When the last chunk with events was passed on.
     last_chunk: Option<Instant>,
@@ -40,7 +40,7 @@
 impl<A: Adapter> Relay<A> {
     pub(crate) fn new(
         active: ActiveRequest<A>,
-        life: life::Request<Streaming>,
+        life: lifecycle::Request<Streaming>,
         reply: Box<PartialReply>,
     ) -> Self {
         let (life, reply) = (Some(life), Some(reply));
--- a/components/link/src/lib.rs
+++ b/components/http_client/src/lib.rs
@@ -60,7 +60,7 @@
     /// ```
     /// # tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap().block_on(async {
     /// let within = std::time::Duration::from_secs(1);
-    /// assert!(link::Link::connect("nobody", within).await.is_err());
+    /// assert!(http_client::Link::connect("nobody", within).await.is_err());
     /// # });
     /// ```
     ///
--- a/components/link/src/pool.rs
+++ b/components/http_client/src/pool.rs
@@ -45,7 +45,7 @@
     /// A pool that keeps connections within limits.
     ///
     /// ```
-    /// let pool = link::Pool::new(link::Kept::default());
+    /// let pool = http_client::Pool::new(http_client::Kept::default());
     /// assert!(pool.take("10.0.0.1:80").is_none());
     /// ```
     pub fn new(kept: Kept) -> Self {
--- a/components/link/tests/pool.rs
+++ b/components/http_client/tests/pool.rs
@@ -4,7 +4,7 @@
 
 use actix_http::{ConnectionType, RequestHead};
 use bytes::Bytes;
-use link::{Kept, Link, Pool};
+use http_client::{Kept, Link, Pool};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 
--- a/components/life/src/course.rs
+++ b/components/lifecycle/src/course.rs
@@ -29,7 +29,7 @@
     /// No further attempt is made.
     ///
     /// ```
-    /// use life::{Outcome, Reason, Repeatable, Request, Unsent, Waiting};
+    /// use lifecycle::{Outcome, Reason, Repeatable, Request, Unsent, Waiting};
     /// let waiting = Waiting::Fresh(Request::new(ids::Request::new()).admit().queue());
     /// let lost = waiting.send().failed(None, Repeatable::when(true)).unwrap();
     /// let declined = lost.send().failed(Some(Unsent::vouch()), Repeatable::when(true)).unwrap();
--- a/components/life/src/lib.rs
+++ b/components/lifecycle/src/lib.rs
@@ -1,22 +1,22 @@
 //! The life of a request as types: only a state in which nothing can have run can say "not run".
 //!
 //! ```compile_fail
-//! let sent = life::Request::<life::Received>::new(ids::Request::new()).admit().queue().send();
-//! sent.not_run(life::Reason::Full); // a sent request may have run
+//! let sent = lifecycle::Request::<lifecycle::Received>::new(ids::Request::new()).admit().queue().send();
+//! sent.not_run(lifecycle::Reason::Full); // a sent request may have run
 //! ```
 //!
 //! Waiting again after an attempt that may have run doesn't bring "not run" back:
 //!
 //! ```compile_fail
-//! let sent = life::Request::<life::Received>::new(ids::Request::new()).admit().queue().send();
-//! let again = sent.again(life::Repeatable::when(true).unwrap());
-//! again.not_run(life::Reason::Full);
+//! let sent = lifecycle::Request::<lifecycle::Received>::new(ids::Request::new()).admit().queue().send();
+//! let again = sent.again(lifecycle::Repeatable::when(true).unwrap());
+//! again.not_run(lifecycle::Reason::Full);
 //! ```
 //!
 //! Nor can a request be sent twice without a proof that it may:
 //!
 //! ```compile_fail
-//! let sent = life::Request::<life::Received>::new(ids::Request::new()).admit().queue().send();
+//! let sent = lifecycle::Request::<lifecycle::Received>::new(ids::Request::new()).admit().queue().send();
 //! sent.send();
 //! ```
 
@@ -77,7 +77,7 @@
     /// The word for the outcome in headers, logs and metrics.
     ///
     /// ```
-    /// assert_eq!(life::Outcome::Unknown.as_str(), "unknown");
+    /// assert_eq!(lifecycle::Outcome::Unknown.as_str(), "unknown");
     /// ```
     pub fn as_str(&self) -> &'static str {
         match self {
@@ -179,7 +179,7 @@
     /// The proof, if the request is idempotent.
     ///
     /// ```
-    /// assert!(life::Repeatable::when(false).is_none());
+    /// assert!(lifecycle::Repeatable::when(false).is_none());
     /// ```
     pub fn when(idempotent: bool) -> Option<Self> {
         idempotent.then_some(Repeatable(()))
--- a/components/router/src/answer.rs
+++ b/components/router/src/answer.rs
@@ -5,7 +5,7 @@
 use actix_http::body::BoxBody;
 use actix_http::{Response, StatusCode};
 use engine::wire::REQUEST_ID;
-use life::Outcome;
+use lifecycle::Outcome;
 use policy::Refusal;
 
 /// Header that tells what became of the request.
--- a/components/router/src/callers.rs
+++ b/components/router/src/callers.rs
@@ -6,7 +6,7 @@
 use actix_http::{HttpMessage, Method, Request};
 use clock::Clock;
 use engine::wire::KEY;
-use life::{Outcome, Reason, Received};
+use lifecycle::{Outcome, Reason, Received};
 use serde::Deserialize;
 use settings::{Effective, ServerKind, Workspace};
 
@@ -34,7 +34,7 @@
 /// Answers one call.
 pub(crate) async fn handle(state: Rc<State>, request: Request) -> Answer {
     let id = ids::Request::new();
-    let received = life::Request::new(id);
+    let received = lifecycle::Request::new(id);
     let held = state.hold(id);
     let settings = state.settings();
     match admit(&state, settings.as_deref(), request, received).await {
@@ -63,7 +63,7 @@
     state: &State,
     settings: Option<&Effective>,
     mut request: Request,
-    received: life::Request<Received>,
+    received: lifecycle::Request<Received>,
 ) -> Result<Admitted, Error> {
     let settings = settings.ok_or(Error::NoSettings)?;
     intake::head(&request, &settings.limits)?;
--- a/components/router/src/keyed.rs
+++ b/components/router/src/keyed.rs
@@ -11,7 +11,7 @@
 use engine::wire::{NOT_RUN, REPLAYED, REQUEST_ID};
 use engine::{Call, Client, Kind, Piece, Reply, Whole};
 use futures_util::stream;
-use life::{Admitted, Outcome, Reason, Sending, Unsent, Waiting};
+use lifecycle::{Admitted, Outcome, Reason, Sending, Unsent, Waiting};
 use once::{Kept, Member, Name, Record};
 use settings::Effective;
 use wire::Keyed;
@@ -77,7 +77,12 @@
     keyed && issued.is_some_and(|issued| issued + window >= now && issued <= now)
 }
 
-fn refused(state: &State, parcel: &Parcel, life: life::Request<Admitted>, error: Error) -> Answer {
+fn refused(
+    state: &State,
+    parcel: &Parcel,
+    life: lifecycle::Request<Admitted>,
+    error: Error,
+) -> Answer {
     let id = life.id();
     let outcome = life.not_run(Reason::NoServer);
     relay::note(state, id, &parcel.class.name, outcome);
@@ -215,7 +220,7 @@
     state: Rc<State>,
     class: String,
     source: Box<engine::Stream>,
-    life: Option<life::Request<life::Streaming>>,
+    life: Option<lifecycle::Request<lifecycle::Streaming>>,
     /// The home has told the caller that the stream broke off.
     told: bool,
     /// The connection to the caller is cut next.
@@ -306,7 +311,7 @@
         region: settings.region_names.key(&state.node.region).unwrap_or_default(),
     };
     Some(Job {
-        life: life::Request::new(id).admit(),
+        life: lifecycle::Request::new(id).admit(),
         parcel: Parcel {
             class,
             workspace: keyed.workspace,
--- a/components/router/src/place.rs
+++ b/components/router/src/place.rs
@@ -4,10 +4,10 @@
 use std::time::Instant;
 
 use clock::Clock;
+pub(crate) use driver::Refused;
+use driver::Target;
 use policy::Ending;
 use settings::Server;
-pub(crate) use turns::Refused;
-use turns::Target;
 
 use crate::relay::Parcel;
 use crate::state::State;
@@ -15,7 +15,7 @@
 /// The place of a request among the decisions. Dropped before its end, the caller went away.
 pub(crate) struct Place {
     pub(crate) state: Rc<State>,
-    inner: turns::Place,
+    inner: driver::Place,
     /// Hash of what the request asks.
     content: u64,
     /// When it was sent last.
@@ -24,7 +24,7 @@
 
 impl Place {
     pub(crate) fn new(state: &Rc<State>, parcel: &Parcel) -> Self {
-        let inner = turns::Place::new(&state.turns, parcel.request.clone());
+        let inner = driver::Place::new(&state.turns, parcel.request.clone());
         let sent = state.clock.now();
         Place { state: state.clone(), inner, content: parcel.content(), sent }
     }
--- a/components/router/src/relay.rs
+++ b/components/router/src/relay.rs
@@ -7,7 +7,7 @@
 use clock::Clock;
 use engine::wire::REQUEST_ID;
 use engine::{Call, Failure, Kind, Piece, Reply, Whole};
-use life::{Outcome, Reason, Repeatable, Sending, Unsent, Waiting};
+use lifecycle::{Outcome, Reason, Repeatable, Sending, Unsent, Waiting};
 use once::Kept;
 use policy::{Ending, Refusal};
 use settings::{Server, ServerKind};
@@ -26,7 +26,7 @@
 
 /// A request that was admitted.
 pub(crate) struct Job {
-    pub(crate) life: life::Request<life::Admitted>,
+    pub(crate) life: lifecycle::Request<lifecycle::Admitted>,
     pub(crate) parcel: Parcel,
 }
 
@@ -70,7 +70,7 @@
     pub(crate) fn content(&self) -> u64 {
         let texts = [&self.workspace, &self.class.name, &self.path].map(|text| text.as_bytes());
         let [workspace, class, path] = texts;
-        turns::fingerprint(&[workspace, class, path, &self.body])
+        driver::fingerprint(&[workspace, class, path, &self.body])
     }
 
     /// Proof that it may run more than once, if it may.
--- a/components/router/src/state.rs
+++ b/components/router/src/state.rs
@@ -6,13 +6,13 @@
 use std::time::{Duration, SystemTime};
 
 use clock::Clock;
+use driver::{Crashes, Turns};
 use policy::Scheduler;
 use settings::Effective;
 use settings::node::Node;
 use slab::Slab;
 use telemetry::Metrics;
 use tokio::sync::{Notify, watch};
-use turns::{Crashes, Turns};
 
 use crate::revisions::Revisions;
 use crate::terms;
--- a/components/router/src/stream.rs
+++ b/components/router/src/stream.rs
@@ -9,7 +9,7 @@
 use clock::Clock;
 use engine::{Call, Failure, Piece, Point, Reply};
 use futures_util::stream;
-use life::{Outcome, Streaming};
+use lifecycle::{Outcome, Streaming};
 use policy::Ending;
 use tokio::sync::mpsc;
 
@@ -30,7 +30,7 @@
 /// A stream under way from a backend server to a caller.
 pub(crate) struct Passing {
     place: Place,
-    life: Option<life::Request<Streaming>>,
+    life: Option<lifecycle::Request<Streaming>>,
     source: Box<engine::Stream>,
     /// What came before the answer was begun.
     first: Option<Piece>,
@@ -46,7 +46,7 @@
 impl Passing {
     pub(crate) fn new(
         place: Place,
-        life: life::Request<Streaming>,
+        life: lifecycle::Request<Streaming>,
         source: Box<engine::Stream>,
         first: Option<Piece>,
         parcel: Parcel,
