--- a/components/clock/src/lib.rs
+++ b/components/clock/src/lib.rs
@@ -12,7 +12,7 @@
     fn wall(&self) -> SystemTime;
     /// Time since some fixed point, which also counts while the VM is suspended; monotonic time
     /// stands still then, and a process that wakes believes that none has passed.
-    fn awake(&self) -> Duration;
+    fn boot_time(&self) -> Duration;
 }
 
 thread_local! {
@@ -49,7 +49,7 @@
     }
 
     /// Virtual time may run ahead of the system's.
-    fn awake(&self) -> Duration {
+    fn boot_time(&self) -> Duration {
         let own = self.now() - self.start;
         self.boot + own.max(boot().saturating_sub(self.boot))
     }
@@ -98,7 +98,7 @@
         SystemTime::UNIX_EPOCH + Duration::from_secs(1_800_000_000) + self.gone.get()
     }
 
-    fn awake(&self) -> Duration {
+    fn boot_time(&self) -> Duration {
         self.gone.get()
     }
 }
--- a/components/driver/src/crashes.rs
+++ b/components/driver/src/crashes.rs
@@ -10,10 +10,10 @@
 use std::time::{Duration, Instant};
 
 use clock::Clock;
-use http_client::Link;
+use http_client::Connection;
 use policy::{Crash, Quarantine, Refusal};
 
-use crate::place::Refused;
+use crate::submission::Refused;
 
 /// Time between the end of a connection and the question whether its server listens: a process that ends
 /// closes all it has open within it.
@@ -25,7 +25,7 @@
 #[derive(Clone, Debug)]
 pub struct Target {
     /// Key of this start of it, the same at all nodes; none if its starts can't be told apart.
-    pub start: Option<u32>,
+    pub instance: Option<u32>,
     /// IP number and port.
     pub address: String,
 }
@@ -52,7 +52,7 @@
     ///
     /// ```
     /// let crashes = driver::Crashes::new(7, clock::Runtime::new());
-    /// assert!(crashes.pass(1).is_ok());
+    /// assert!(crashes.begin_attempt(1).is_ok());
     /// ```
     pub fn new(seed: u64, clock: clock::Runtime) -> Rc<Self> {
         let quarantine = RefCell::new(Quarantine::new(seed));
@@ -61,7 +61,7 @@
 
     /// Takes in that the connection of a request, which was sent at a time, ended early. Asks its server
     /// whether it has crashed.
-    pub fn lost(self: &Rc<Self>, server: Target, content: u64, sent: Instant) {
+    pub fn record_lost_connection(self: &Rc<Self>, server: Target, content: u64, sent: Instant) {
         let mut asked = self.asked.borrow_mut();
         let first = !asked.contains_key(&server.address);
         let lost = Lost { content, sent, at: self.clock.now() };
@@ -73,13 +73,13 @@
 
     async fn ask(self: Rc<Self>, server: Target) {
         tokio::time::sleep(SETTLE).await;
-        let answer = Link::connect(&server.address, CONNECT).await;
+        let answer = Connection::connect(&server.address, CONNECT).await;
         let refused = answer.is_err_and(|cause| cause.kind() == ErrorKind::ConnectionRefused);
         let lost = self.asked.borrow_mut().remove(&server.address).unwrap_or_default();
         if !refused {
             return;
         }
-        let server_key = server.start.unwrap_or_else(rand::random);
+        let server_key = server.instance.unwrap_or_else(rand::random);
         let (mut quarantine, now) = (self.quarantine.borrow_mut(), self.clock.now());
         for Lost { content, sent, at } in lost.iter().copied() {
             let before = quarantine.blocked_for(content, now);
@@ -96,7 +96,7 @@
     }
 
     /// Takes in that a request got a whole answer, good or bad.
-    pub fn completed(&self, content: u64) {
+    pub fn record_completion(&self, content: u64) {
         self.quarantine.borrow_mut().record_completion(content, self.clock.now());
     }
 
@@ -104,9 +104,9 @@
     ///
     /// # Errors
     /// When it is held back.
-    pub fn admit(&self, content: u64) -> Result<(), Refused> {
+    pub fn check_quarantine(&self, content: u64) -> Result<(), Refused> {
         match self.quarantine.borrow().blocked_for(content, self.clock.now()) {
-            Some(again) => Err(Refused { refusal: Refusal::Quarantined, again }),
+            Some(retry_after) => Err(Refused { refusal: Refusal::Quarantined, retry_after }),
             None => Ok(()),
         }
     }
@@ -115,8 +115,8 @@
     ///
     /// # Errors
     /// When it is held back.
-    pub fn pass(&self, content: u64) -> Result<(), Refused> {
+    pub fn begin_attempt(&self, content: u64) -> Result<(), Refused> {
         let passed = self.quarantine.borrow_mut().begin_attempt(content, self.clock.now());
-        passed.map_err(|again| Refused { refusal: Refusal::Quarantined, again })
+        passed.map_err(|retry_after| Refused { refusal: Refusal::Quarantined, retry_after })
     }
 }
--- a/components/driver/src/lib.rs
+++ b/components/driver/src/lib.rs
@@ -3,7 +3,7 @@
 
 mod crashes;
 mod fingerprint;
-mod place;
+mod submission;
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -16,13 +16,13 @@
 
 pub use crashes::{Crashes, Target};
 pub use fingerprint::fingerprint;
-pub use place::{Place, Refused};
+pub use submission::{Refused, Submission};
 
 /// How long the decisions may sleep when nothing is due.
 const SLEEP: Duration = Duration::from_secs(1);
 
 /// The scheduler and those who wait for its word.
-pub struct Turns {
+pub struct Driver {
     /// The decisions.
     pub scheduler: RefCell<Scheduler>,
     clock: clock::Runtime,
@@ -32,15 +32,15 @@
     changed: Notify,
 }
 
-impl Turns {
+impl Driver {
     /// Drives a scheduler.
     ///
     /// ```
-    /// let turns = driver::Turns::new(policy::Scheduler::with_seed(1), clock::Runtime::new());
-    /// assert_eq!(turns.scheduler.borrow().waiting(), 0);
+    /// let driver = driver::Driver::new(policy::Scheduler::with_seed(1), clock::Runtime::new());
+    /// assert_eq!(driver.scheduler.borrow().waiting(), 0);
     /// ```
     pub fn new(scheduler: Scheduler, clock: clock::Runtime) -> Rc<Self> {
-        Rc::new(Turns {
+        Rc::new(Driver {
             scheduler: RefCell::new(scheduler),
             clock,
             waiting: RefCell::default(),
@@ -50,7 +50,7 @@
     }
 
     /// Carries out what the decisions ask for now.
-    pub fn pump(&self) {
+    pub fn run_actions(&self) {
         let mut actions = vec![];
         self.scheduler.borrow_mut().poll(self.clock.now(), &mut actions);
         for action in actions {
@@ -73,16 +73,16 @@
     }
 
     /// Starts the task that wakes the decisions when something falls due; it ends with `self`.
-    pub fn start(self: &Rc<Self>) {
+    pub fn spawn_timer(self: &Rc<Self>) {
         let weak = Rc::downgrade(self);
         actix_rt::spawn(async move {
-            while let Some(turns) = weak.upgrade() {
-                let due = turns.scheduler.borrow().next_due();
-                let now = turns.clock.now();
+            while let Some(driver) = weak.upgrade() {
+                let due = driver.scheduler.borrow().next_due();
+                let now = driver.clock.now();
                 let wait = due.map_or(SLEEP, |due| due.saturating_duration_since(now).min(SLEEP));
                 tokio::select! {
-                    _ = tokio::time::sleep(wait) => turns.pump(),
-                    _ = turns.changed.notified() => {}
+                    _ = tokio::time::sleep(wait) => driver.run_actions(),
+                    _ = driver.changed.notified() => {}
                 }
             }
         });
--- a/components/driver/src/place.rs
+++ b/components/driver/src/submission.rs
@@ -7,10 +7,10 @@
 use policy::{Action, Ending, Expected, Policy, Refusal};
 use tokio::sync::oneshot;
 
-use crate::Turns;
+use crate::Driver;
 
 /// What a caller is told to wait where the decisions don't say.
-const AGAIN: Duration = Duration::from_secs(1);
+const DEFAULT_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// The decisions gave the request up.
 #[derive(Clone, Copy, Debug)]
@@ -18,18 +18,19 @@
     /// Why.
     pub refusal: Refusal,
     /// When it is worth trying again.
-    pub again: Duration,
+    pub retry_after: Duration,
 }
 
 impl Refused {
     /// No backend server may take it.
-    pub const NOBODY: Refused = Refused { refusal: Refusal::NoServer, again: AGAIN };
+    pub const NO_SERVER: Refused =
+        Refused { refusal: Refusal::NoServer, retry_after: DEFAULT_RETRY_AFTER };
 }
 
 /// The place of a request among the decisions. Dropped before its end, the caller went away.
-pub struct Place {
+pub struct Submission {
     /// What drives the decisions.
-    pub turns: Rc<Turns>,
+    pub driver: Rc<Driver>,
     /// The request.
     pub job: ids::Job,
     stop: Option<oneshot::Receiver<()>>,
@@ -37,43 +38,43 @@
     over: bool,
 }
 
-impl Place {
+impl Submission {
     /// Submits a request.
-    pub fn new(turns: &Rc<Turns>, request: policy::Request) -> Self {
-        let job = turns.scheduler.borrow_mut().submit(request, turns.clock.now());
-        Place { turns: turns.clone(), job, stop: None, sent: false, over: false }
+    pub fn new(driver: &Rc<Driver>, request: policy::Request) -> Self {
+        let job = driver.scheduler.borrow_mut().submit(request, driver.clock.now());
+        Submission { driver: driver.clone(), job, stop: None, sent: false, over: false }
     }
 
     /// Waits until the request may go to a server.
     ///
     /// # Errors
     /// When the decisions gave it up.
-    pub async fn turn(&mut self) -> Result<ids::Server, Refused> {
+    pub async fn wait_for_server(&mut self) -> Result<ids::Server, Refused> {
         let (sender, receiver) = oneshot::channel();
-        self.turns.waiting.borrow_mut().insert(self.job, sender);
-        self.turns.pump();
+        self.driver.waiting.borrow_mut().insert(self.job, sender);
+        self.driver.run_actions();
         let server = match receiver.await {
             Ok(Action::Send { server, .. }) => server,
             Ok(Action::Refuse { refusal, retry_after, .. }) => {
                 self.over = true;
-                return Err(Refused { refusal, again: retry_after });
+                return Err(Refused { refusal, retry_after });
             }
-            Ok(Action::Stop { .. }) | Err(_) => return Err(Refused::NOBODY),
+            Ok(Action::Stop { .. }) | Err(_) => return Err(Refused::NO_SERVER),
         };
         self.sent = true;
         let (sender, receiver) = oneshot::channel();
-        self.turns.stops.borrow_mut().insert(self.job, sender);
+        self.driver.stops.borrow_mut().insert(self.job, sender);
         self.stop = Some(receiver);
         Ok(server)
     }
 
     /// What was expected of the engine that the request was sent to.
     pub fn expected(&self) -> Option<Expected> {
-        self.turns.scheduler.borrow().expected(self.job)
+        self.driver.scheduler.borrow().expected(self.job)
     }
 
     /// Waits until the decisions want the attempt stopped.
-    pub async fn stopped(&mut self) {
+    pub async fn wait_for_stop(&mut self) {
         if let Some(stop) = &mut self.stop
             && stop.await.is_ok()
         {
@@ -84,33 +85,33 @@
     }
 
     /// Notes tokens of the attempt that came; the first call tells of the first.
-    pub fn tokens(&self, count: u32) {
-        let now = self.turns.clock.now();
-        self.turns.scheduler.borrow_mut().record_tokens(self.job, count, now);
+    pub fn record_tokens(&self, count: u32) {
+        let now = self.driver.clock.now();
+        self.driver.scheduler.borrow_mut().record_tokens(self.job, count, now);
     }
 
-    /// Ends the attempt; returns whether the job waits again. If so, [`Place::turn`] must follow
+    /// Ends the attempt; returns whether the job waits again. If so, [`Submission::wait_for_server`] must follow
     /// without a pause, since a turn that nobody awaits is given up.
-    pub fn end(&mut self, ending: Ending) -> bool {
+    pub fn end_attempt(&mut self, ending: Ending) -> bool {
         self.sent = false;
         self.stop = None;
-        self.turns.stops.borrow_mut().remove(self.job);
-        let now = self.turns.clock.now();
-        let again = self.turns.scheduler.borrow_mut().attempt_ended(self.job, ending, now);
+        self.driver.stops.borrow_mut().remove(self.job);
+        let now = self.driver.clock.now();
+        let again = self.driver.scheduler.borrow_mut().attempt_ended(self.job, ending, now);
         self.over = !again;
         again
     }
 }
 
-impl Drop for Place {
+impl Drop for Submission {
     fn drop(&mut self) {
         if !self.over && self.sent {
-            self.end(Ending::Cancelled);
+            self.end_attempt(Ending::Cancelled);
         } else if !self.over {
-            let now = self.turns.clock.now();
-            self.turns.scheduler.borrow_mut().withdraw(self.job, now);
-            self.turns.waiting.borrow_mut().remove(self.job);
+            let now = self.driver.clock.now();
+            self.driver.scheduler.borrow_mut().withdraw(self.job, now);
+            self.driver.waiting.borrow_mut().remove(self.job);
         }
-        self.turns.pump();
+        self.driver.run_actions();
     }
 }
--- a/components/engine/src/client.rs
+++ b/components/engine/src/client.rs
@@ -3,7 +3,7 @@
 use actix_http::header::{HeaderName, HeaderValue};
 use actix_http::{Method, RequestHead, ResponseHead, Uri};
 use bytes::{Bytes, BytesMut};
-use http_client::{Body, Link, Pool};
+use http_client::{Body, Connection, Pool};
 use serde::Deserialize;
 use tokio::time::Instant;
 
@@ -249,13 +249,13 @@
             |cause: String| Failure::Unconnected { address: call.address.clone(), cause };
         let head = head(call, last).map_err(unconnected)?;
         let kept = if call.fresh { None } else { self.pool.take(&call.address) };
-        let link = match kept {
-            Some(link) => link,
-            None => Link::connect(&call.address, self.connect)
+        let connection = match kept {
+            Some(connection) => connection,
+            None => Connection::connect(&call.address, self.connect)
                 .await
                 .map_err(|cause| unconnected(cause.to_string()))?,
         };
-        let answer = tokio::time::timeout(self.idle, link.exchange(head, body)).await;
+        let answer = tokio::time::timeout(self.idle, connection.exchange(head, body)).await;
         let answer = answer.map_err(|_| lost("no answer in time".to_string()))?;
         let (head, body) = answer.map_err(|cause| lost(cause.to_string()))?;
         judge(call, &head)?;
@@ -317,7 +317,7 @@
     let mut head = RequestHead::default();
     head.method = Method::POST;
     head.uri = call.path.parse::<Uri>().map_err(|cause| cause.to_string())?;
-    head.set_connection_type(http_client::connection(call.fresh));
+    head.set_connection_type(http_client::connection_type(call.fresh));
     let mut headers = vec![
         ("host", call.address.clone()),
         ("content-type", call.media.clone()),
--- a/components/forward/src/attempt.rs
+++ b/components/forward/src/attempt.rs
@@ -8,7 +8,7 @@
 use bytes::{Bytes, BytesMut};
 use catalog::Entry;
 use clock::Clock;
-use http_client::{Body, Link};
+use http_client::{Body, Connection};
 use lifecycle::Unsent;
 use policy::Ending;
 
@@ -165,18 +165,19 @@
     last_event_id: Option<u64>,
     fetch_from: Option<Rc<Entry>>,
 ) -> Result<Reply, AttemptError> {
-    let link = match state.pool.take(&server.address) {
-        Some(link) => link,
+    let connection = match state.pool.take(&server.address) {
+        Some(connection) => connection,
         None => {
             state.metrics.connected();
-            let link = Link::connect(&server.address, CONNECT_TIMEOUT).await;
-            link.map_err(|cause| AttemptError::Unreached(cause.to_string()))?
+            let connection = Connection::connect(&server.address, CONNECT_TIMEOUT).await;
+            connection.map_err(|cause| AttemptError::Unreached(cause.to_string()))?
         }
     };
     let head = request_head(state, received, server, last_event_id, fetch_from);
     let sent = state.clock.now();
     let lost = |cause: http_client::Error| AttemptError::Lost(cause.to_string());
-    let (mut head, mut body) = link.exchange(head, received.body.clone()).await.map_err(lost)?;
+    let (mut head, mut body) =
+        connection.exchange(head, received.body.clone()).await.map_err(lost)?;
     let mut mismatched = 0;
     loop {
         let verdict = state.adapter.servers.check_response(&head, &received.call, server);
@@ -200,7 +201,7 @@
                 mismatched += 1;
                 state.metrics.crossed();
                 while body.next().await.map_err(lost)?.is_some() {}
-                (head, body) = body.further().await.map_err(lost)?;
+                (head, body) = body.next_response().await.map_err(lost)?;
             }
             Verdict::Mismatched => {
                 return Err(AttemptError::Lost("the server responds to other requests".into()));
@@ -305,7 +306,7 @@
     head.version = Version::HTTP_11;
     head.headers =
         state.adapter.servers.request_headers(received.head.head(), &received.call, &attempt);
-    head.set_connection_type(http_client::connection(false));
+    head.set_connection_type(http_client::connection_type(false));
     head
 }
 
--- a/components/forward/src/follow.rs
+++ b/components/forward/src/follow.rs
@@ -179,7 +179,7 @@
     state: &Rc<State<A>>,
     list_limit: Option<usize>,
 ) -> Result<Duration, StoreError> {
-    let asked = state.clock.awake();
+    let asked = state.clock.boot_time();
     let position = state.replica.borrow().position().filter(|_| !state.history_lost.take());
     let Some(after) = position else {
         let Versioned { value, position } = state.adapter.store.list(list_limit).await?;
@@ -203,7 +203,7 @@
         }
     };
     state.roster.borrow_mut().answered(state.clock.now());
-    let waited = state.clock.awake().saturating_sub(asked);
+    let waited = state.clock.boot_time().saturating_sub(asked);
     let has_changes = !value.is_empty();
     let updates = state.replica.borrow_mut().apply(value, position);
     apply_items(state, updates);
@@ -218,7 +218,7 @@
     state: &Rc<State<A>>,
     peer: std::net::SocketAddr,
 ) -> Result<Duration, StoreError> {
-    let asked = state.clock.awake();
+    let asked = state.clock.boot_time();
     let wait = match state.replica.borrow().position() {
         None => FIRST_WAIT,
         // A delegate may have to read the store first.
--- a/components/forward/src/intake.rs
+++ b/components/forward/src/intake.rs
@@ -56,7 +56,7 @@
 
     /// Proof that the request may run more than once, if its route allows that.
     pub(crate) fn repeatable(&self) -> Option<lifecycle::Repeatable> {
-        lifecycle::Repeatable::when(self.route().kind.repeatable())
+        lifecycle::Repeatable::if_idempotent(self.route().kind.repeatable())
     }
 }
 
--- a/components/forward/src/lib.rs
+++ b/components/forward/src/lib.rs
@@ -83,7 +83,7 @@
         if state.disabled.is_enabled(Mechanism::LoadGossip) {
             gossip::start(&state);
         }
-        state.driver.start();
+        state.driver.spawn_timer();
         Ok(Proxy { state, callers, operators, peers })
     }
 
--- a/components/forward/src/limits.rs
+++ b/components/forward/src/limits.rs
@@ -113,7 +113,7 @@
     }
     drop(registry);
     if !permits.is_empty() {
-        state.driver.pump();
+        state.driver.run_actions();
     }
 }
 
--- a/components/forward/src/serve.rs
+++ b/components/forward/src/serve.rs
@@ -8,7 +8,7 @@
 use actix_http::{ConnectionType, Request, Response};
 use catalog::Entry;
 use clock::Clock;
-use driver::{Place, Refused, Target};
+use driver::{Refused, Submission, Target};
 use lifecycle::{Outcome, Reason, Sending, Waiting};
 use policy::{Ending, Expected, Refusal};
 
@@ -57,7 +57,8 @@
 
 /// A server declined and no further attempt is allowed. Other servers may have free slots, which the
 /// caller's next try can use.
-const DECLINED: Refused = Refused { refusal: Refusal::Full, again: Duration::from_millis(50) };
+const DECLINED: Refused =
+    Refused { refusal: Refusal::Full, retry_after: Duration::from_millis(50) };
 
 /// Outcome in logs and metrics of a request whose caller disconnected.
 const CALLER_GONE: &str = "caller-gone";
@@ -83,7 +84,7 @@
 pub(crate) struct ActiveRequest<A: Adapter> {
     pub(crate) state: Rc<State<A>>,
     pub(crate) received: Received,
-    pub(crate) place: Place,
+    pub(crate) submission: Submission,
     #[allow(dead_code, reason = "counts the request until its answer ends")]
     open: OpenRequest<A>,
     /// The server of the latest attempt.
@@ -102,13 +103,13 @@
     received: Received,
     open: OpenRequest<A>,
 ) -> Answer {
-    let mut waiting = Waiting::Fresh(lifecycle::Request::new(ids::Request::new()).admit().queue());
-    let place = Place::new(&state.driver, received.request.clone());
+    let mut waiting = Waiting::Queued(lifecycle::Request::new(ids::Request::new()).admit().queue());
+    let submission = Submission::new(&state.driver, received.request.clone());
     let sent = state.clock.now();
     let mut active = ActiveRequest {
         state,
         received,
-        place,
+        submission,
         open,
         server: None,
         sent,
@@ -116,7 +117,7 @@
         ended: Cell::new(false),
         error_reply: None,
     };
-    if let Err(refused) = active.state.crashes.admit(active.received.fingerprint) {
+    if let Err(refused) = active.state.crashes.check_quarantine(active.received.fingerprint) {
         return active.refuse(waiting, refused);
     }
     loop {
@@ -133,13 +134,13 @@
             Err(error) => error,
         };
         active.record_failure(sending.attempt(), &server, &error);
-        let again = active.place.end(error.ending());
+        let again = active.submission.end_attempt(error.ending());
         let timed_out = matches!(error, AttemptError::TimedOut);
         let unsent = error.unsent();
         if let AttemptError::ServerError(whole) = error {
             active.error_reply = Some(*whole);
         }
-        waiting = match sending.failed(unsent, active.received.repeatable()) {
+        waiting = match sending.fail(unsent, active.received.repeatable()) {
             Ok(waiting) => waiting,
             Err(outcome) => return active.answer_without_reply(outcome, timed_out),
         };
@@ -153,14 +154,14 @@
     /// Waits until the scheduler assigns a server; returns the server to send the request to.
     pub(crate) async fn wait_for_server(&mut self) -> Result<Rc<Entry>, Refused> {
         loop {
-            let key = self.place.turn().await?;
+            let key = self.submission.wait_for_server().await?;
             if self.received.time_left(&self.state).is_zero() {
                 // The process may have been suspended since the server was assigned.
-                self.place.end(Ending::Cancelled);
-                return Err(Refused { refusal: Refusal::Late, ..Refused::NOBODY });
+                self.submission.end_attempt(Ending::Cancelled);
+                return Err(Refused { refusal: Refusal::Late, ..Refused::NO_SERVER });
             }
-            if let Err(refused) = self.state.crashes.pass(self.received.fingerprint) {
-                self.place.end(Ending::Cancelled);
+            if let Err(refused) = self.state.crashes.begin_attempt(self.received.fingerprint) {
+                self.submission.end_attempt(Ending::Cancelled);
                 return Err(refused);
             }
             let server = self.state.registry.borrow().server(key).cloned();
@@ -170,11 +171,11 @@
                     self.stats.sent = Some(self.state.elapsed_since(self.received.arrived));
                     self.stats.sends += 1;
                     self.sent = self.state.clock.now();
-                    self.stats.expected = self.place.expected();
+                    self.stats.expected = self.submission.expected();
                     return Ok(server);
                 }
-                None if self.place.end(Ending::Unreached) => {}
-                None => return Err(Refused::NOBODY),
+                None if self.submission.end_attempt(Ending::Unreached) => {}
+                None => return Err(Refused::NO_SERVER),
             }
         }
     }
@@ -208,9 +209,15 @@
             attempt = attempt, left_ms = left_ms, cause:% = error; "attempt failed"
         );
         match error {
-            AttemptError::ServerError(_) => self.state.crashes.completed(self.received.fingerprint),
+            AttemptError::ServerError(_) => {
+                self.state.crashes.record_completion(self.received.fingerprint)
+            }
             AttemptError::Lost(_) if self.should_be_running(name) => {
-                self.state.crashes.lost(crash_target(server), self.received.fingerprint, self.sent);
+                self.state.crashes.record_lost_connection(
+                    crash_target(server),
+                    self.received.fingerprint,
+                    self.sent,
+                );
             }
             _ => {}
         }
@@ -272,7 +279,7 @@
             Refusal::NoServer => "no backend server may take it",
             Refusal::Quarantined => "servers ended under it",
         };
-        let error = Error::Refused { reason, retry_after: refused.again };
+        let error = Error::Refused { reason, retry_after: refused.retry_after };
         self.state.metrics.refusal(reason);
         self.record_outcome(reason, error.status().as_u16());
         error.response()
@@ -293,7 +300,7 @@
     fn relay_whole(&mut self, whole: WholeReply) -> Answer {
         let outcome = Outcome::Complete.as_str();
         self.record_outcome(outcome, whole.status.as_u16());
-        self.state.crashes.completed(self.received.fingerprint);
+        self.state.crashes.record_completion(self.received.fingerprint);
         let workspace =
             self.received.found.workspace.as_ref().map_or("", |workspace| &workspace.name);
         let time = self.state.elapsed_since(self.received.arrived);
@@ -307,7 +314,7 @@
     fn relay(mut self, sending: Sending, reply: Reply) -> Answer {
         let mut reply = match reply {
             Reply::Whole(whole) => {
-                self.place.end(Ending::Completed);
+                self.submission.end_attempt(Ending::Completed);
                 sending.complete();
                 return self.relay_whole(whole);
             }
@@ -323,7 +330,7 @@
 /// Identifies a server for crash detection; a restart under the same name counts as another server.
 fn crash_target(server: &Entry) -> Target {
     let start = format!("{} {}", server.name, server.started.unwrap_or_default());
-    Target { start: Some(wire::key(&start)), address: server.address.clone() }
+    Target { instance: Some(wire::key(&start)), address: server.address.clone() }
 }
 
 /// A request whose caller disconnected is dropped at whatever point it is, and logged here.
--- a/components/forward/src/state.rs
+++ b/components/forward/src/state.rs
@@ -7,8 +7,8 @@
 
 use catalog::{Book, Freshness, Roster};
 use clock::Clock;
-use driver::{Crashes, Turns};
-use http_client::{Kept, Pool};
+use driver::{Crashes, Driver};
+use http_client::{Pool, PoolLimits};
 use policy::{Mechanism, Scheduler};
 use slab::Slab;
 use telemetry::Metrics;
@@ -35,7 +35,7 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Timestamp {
     pub(crate) at: Instant,
-    awake: Duration,
+    boot_time: Duration,
 }
 
 /// Retries that a node may send at once to one service, beyond those that its first attempts have
@@ -60,7 +60,7 @@
     pub(crate) disabled: Disabled,
     pub(crate) clock: clock::Runtime,
     pub(crate) adapter: Protocols<A>,
-    pub(crate) driver: Rc<Turns>,
+    pub(crate) driver: Rc<Driver>,
     /// Requests during which servers crashed.
     pub(crate) crashes: Rc<Crashes>,
     pub(crate) registry: RefCell<Registry>,
@@ -139,7 +139,7 @@
             disabled,
             clock,
             adapter,
-            driver: Turns::new(scheduler, clock),
+            driver: Driver::new(scheduler, clock),
             crashes: Crashes::new(seed, clock),
             registry: RefCell::new(registry),
             settings: RefCell::default(),
@@ -150,7 +150,10 @@
             seeds_lost_store: Cell::new(false),
             loaded: Cell::new(false),
             region,
-            pool: Pool::new(Kept { most: MAX_IDLE_CONNECTIONS, idle: IDLE_TIMEOUT }),
+            pool: Pool::new(PoolLimits {
+                max_idle: MAX_IDLE_CONNECTIONS,
+                idle_timeout: IDLE_TIMEOUT,
+            }),
             metrics: Metrics::new(),
             draining: Cell::new(false),
             replica: RefCell::default(),
@@ -253,23 +256,23 @@
 
     /// Whether the proof that the settings are the newest is young enough to accept keys.
     pub(crate) fn is_fresh(&self) -> bool {
-        self.freshness.borrow().holds(self.clock.awake())
+        self.freshness.borrow().holds(self.clock.boot_time())
     }
 
     /// Age of the proof that the settings are the newest, in ms; none without a proof.
     pub(crate) fn proof_age_ms(&self) -> Option<u64> {
-        let age = self.freshness.borrow().age(self.clock.awake())?;
+        let age = self.freshness.borrow().age(self.clock.boot_time())?;
         Some(age.as_millis() as u64)
     }
 
     /// The current time.
     pub(crate) fn timestamp(&self) -> Timestamp {
-        Timestamp { at: self.clock.now(), awake: self.clock.awake() }
+        Timestamp { at: self.clock.now(), boot_time: self.clock.boot_time() }
     }
 
     /// Time elapsed since a timestamp, including any suspension of the VM.
     pub(crate) fn elapsed_since(&self, timestamp: Timestamp) -> Duration {
-        self.clock.awake().saturating_sub(timestamp.awake)
+        self.clock.boot_time().saturating_sub(timestamp.boot_time)
     }
 
     /// Number of requests that were received and not yet answered to the end.
@@ -317,7 +320,7 @@
         self.metrics.settings.event("accepted");
         self.metrics.settings.revision(settings.revision);
         *self.settings.borrow_mut() = Some(Rc::new(settings));
-        self.driver.pump();
+        self.driver.run_actions();
     }
 
     /// Updates the scheduler after these servers were listed, changed or removed.
@@ -347,7 +350,7 @@
         }
         drop((roster, registry, scheduler));
         limits::apply_to_scheduler(self);
-        self.driver.pump();
+        self.driver.run_actions();
     }
 }
 
--- a/components/forward/src/stream.rs
+++ b/components/forward/src/stream.rs
@@ -84,7 +84,7 @@
 
     /// Counts the tokens of a chunk and measures its delay; returns its bytes.
     fn record_chunk(&mut self, chunk: Chunk) -> Bytes {
-        let ActiveRequest { state, received, place, stats, server, .. } = &mut self.active;
+        let ActiveRequest { state, received, submission, stats, server, .. } = &mut self.active;
         if chunk.events > 0 {
             let settings = state.settings.borrow();
             let services = settings.as_ref().map(|settings| &settings.services);
@@ -93,7 +93,7 @@
             let tokens = chunk.events * service.map_or(1, |service| service.event_tokens);
             self.tokens += tokens;
             stats.tokens += tokens;
-            place.tokens(tokens);
+            submission.record_tokens(tokens);
             let now = state.clock.now();
             let route = &received.route().name;
             match self.last_chunk.replace(now) {
@@ -114,12 +114,12 @@
     /// Ends the request after a complete answer, and returns the connection to the pool.
     fn complete(&mut self) -> Option<io::Result<Bytes>> {
         let life = self.life.take()?;
-        self.active.place.end(Ending::Completed);
+        self.active.submission.end_attempt(Ending::Completed);
         self.tokens = 0;
         if let Some(reply) = self.reply.take() {
             let status = reply.status.as_u16();
             reply.release_connection(&self.active.state);
-            self.active.state.crashes.completed(self.active.received.fingerprint);
+            self.active.state.crashes.record_completion(self.active.received.fingerprint);
             self.active.record_outcome(life.complete().as_str(), status);
         }
         None
@@ -130,7 +130,7 @@
         self.broken = true;
         self.reply = None;
         if let Some(life) = self.life.take() {
-            self.active.record_outcome(life.broken().as_str(), 0);
+            self.active.record_outcome(life.truncated().as_str(), 0);
         }
     }
 
@@ -150,10 +150,10 @@
             let enabled = self.active.state.disabled.is_enabled(Mechanism::StreamResumption);
             let resumable = enabled && !matches!(error, AttemptError::OutOfOrder(_));
             let Some(proof) = self.active.received.repeatable().filter(|_| resumable) else {
-                self.active.place.end(ending);
+                self.active.submission.end_attempt(ending);
                 break;
             };
-            if !self.active.place.end(ending) {
+            if !self.active.submission.end_attempt(ending) {
                 break;
             }
             let Ok(server) = self.active.wait_for_server().await else { break };
--- a/components/forward/src/updates.rs
+++ b/components/forward/src/updates.rs
@@ -173,7 +173,7 @@
 
 /// Answers once there is an update or a newer proof that there is none, or the wait is over.
 async fn answer_update<A: Adapter>(state: &State<A>, ask: &UpdateRequest) -> Answer {
-    let asked = state.clock.awake();
+    let asked = state.clock.boot_time();
     let has_update = || state.replica.borrow().position() > ask.position;
     if ask.position.is_some() && !has_update() {
         let wait = Duration::from_millis(ask.wait_ms.into());
@@ -193,7 +193,7 @@
         unknown: items.is_none(),
         items: items.unwrap_or_default(),
         age_ms: state.proof_age_ms().map(|age| age.try_into().unwrap_or(u32::MAX)),
-        held_ms: state.clock.awake().saturating_sub(asked).as_millis() as u32,
+        held_ms: state.clock.boot_time().saturating_sub(asked).as_millis() as u32,
         lost: state.store_failures.get() > 0,
         returned_ms: state.roster.borrow().returned(now).map(|ago| ago.as_millis() as u32),
         work: state.fleet_work(),
--- a/components/http_client/src/body.rs
+++ b/components/http_client/src/body.rs
@@ -8,7 +8,7 @@
 use tokio::io::AsyncReadExt;
 use tokio::net::TcpStream;
 
-use crate::{Error, Link};
+use crate::{Connection, Error};
 
 /// Memory for reading a body. The library takes 8 KiB where less than 1 KiB is free, so what is read
 /// at once leaves that much over.
@@ -75,23 +75,23 @@
     ///
     /// # Errors
     /// When no further response comes.
-    pub async fn further(self) -> Result<(ResponseHead, Body), Error> {
+    pub async fn next_response(self) -> Result<(ResponseHead, Body), Error> {
         let mut framed = match self.form {
             Form::Empty(framed) => framed,
             Form::Sized(Payload { io, codec, buf }) => {
                 let parts = FramedParts::with_read_buf(io, codec.into_message_codec(), buf);
                 Framed::from_parts(parts)
             }
-            Form::Unsized(..) => return Err(Error::Cut),
+            Form::Unsized(..) => return Err(Error::Closed),
         };
-        let head = framed.next().await.ok_or(Error::Cut)??;
+        let head = framed.next().await.ok_or(Error::Closed)??;
         let body = Body::new(&head, framed, self.flushed);
         Ok((head, body))
     }
 
     /// The connection, once the body has ended and if both sides keep it. Bytes that came after the
     /// end belong to no request, so the connection isn't used again.
-    pub(crate) fn link(self) -> Option<Link> {
+    pub(crate) fn link(self) -> Option<Connection> {
         let (kept, rest, io) = match self.form {
             Form::Empty(framed) => {
                 let kept = framed.codec_ref().keep_alive();
@@ -101,7 +101,7 @@
             Form::Sized(payload) => (payload.codec.keep_alive(), payload.buf, payload.io),
             Form::Unsized(..) => return None,
         };
-        (kept && self.flushed && rest.is_empty()).then_some(Link(io))
+        (kept && self.flushed && rest.is_empty()).then_some(Connection(io))
     }
 }
 
@@ -137,7 +137,7 @@
             // Uses the same memory again once what was in it has been passed on.
             self.buf.reserve(BUFFER - self.buf.len().min(READ));
             if self.io.read_buf(&mut (&mut self.buf).limit(READ)).await? == 0 {
-                return Err(Error::Cut);
+                return Err(Error::Closed);
             }
         }
     }
--- a/components/http_client/src/lib.rs
+++ b/components/http_client/src/lib.rs
@@ -23,7 +23,7 @@
 use tokio::net::TcpStream;
 
 pub use body::Body;
-pub use pool::{Kept, Pool};
+pub use pool::{Pool, PoolLimits};
 
 /// What the codec takes for encoding.
 type Outgoing = Message<(RequestHeadType, BodySize)>;
@@ -47,20 +47,20 @@
     Body(#[from] PayloadError),
     /// The other side ended the connection.
     #[error("the connection ended early")]
-    Cut,
+    Closed,
 }
 
 /// A connection that carries no request now.
 #[derive(Debug)]
-pub struct Link(TcpStream);
+pub struct Connection(TcpStream);
 
-impl Link {
+impl Connection {
     /// Connects to `address` (IP and port) within a time. Until this returns nothing was sent.
     ///
     /// ```
     /// # tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap().block_on(async {
     /// let within = std::time::Duration::from_secs(1);
-    /// assert!(http_client::Link::connect("nobody", within).await.is_err());
+    /// assert!(http_client::Connection::connect("nobody", within).await.is_err());
     /// # });
     /// ```
     ///
@@ -71,11 +71,11 @@
         stream.set_nodelay(true)?;
         let limit = UNACKNOWLEDGED.as_millis() as u32;
         rustix::net::sockopt::set_tcp_user_timeout(&stream, limit)?;
-        Ok(Link(stream))
+        Ok(Connection(stream))
     }
 
     /// Whether nothing came since the last response: an end, an error or stray bytes would.
-    fn quiet(&self) -> bool {
+    fn is_idle(&self) -> bool {
         let read = self.0.try_read(&mut [0]);
         read.is_err_and(|cause| cause.kind() == io::ErrorKind::WouldBlock)
     }
@@ -116,7 +116,7 @@
         let head = match head.await {
             Some(Ok(head)) => head,
             Some(Err(cause)) => return Err(failed.map_or(cause.into(), Error::Send)),
-            None => return Err(failed.map_or(Error::Cut, Error::Send)),
+            None => return Err(failed.map_or(Error::Closed, Error::Send)),
         };
         let body = Body::new(&head, framed, flushed);
         Ok((head, body))
@@ -124,6 +124,6 @@
 }
 
 /// The type of connection that a request asks for.
-pub fn connection(fresh: bool) -> ConnectionType {
-    if fresh { ConnectionType::Close } else { ConnectionType::KeepAlive }
+pub fn connection_type(close: bool) -> ConnectionType {
+    if close { ConnectionType::Close } else { ConnectionType::KeepAlive }
 }
--- a/components/http_client/tests/pool.rs
+++ b/components/http_client/tests/pool.rs
@@ -4,7 +4,7 @@
 
 use actix_http::{ConnectionType, RequestHead};
 use bytes::Bytes;
-use http_client::{Kept, Link, Pool};
+use http_client::{Connection, Pool, PoolLimits};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 
@@ -14,7 +14,7 @@
 async fn exchange(pool: &Pool) -> TcpStream {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap().to_string();
-    let link = Link::connect(&address, Duration::from_secs(5)).await.unwrap();
+    let link = Connection::connect(&address, Duration::from_secs(5)).await.unwrap();
     let (mut server, _) = listener.accept().await.unwrap();
     server.write_all(b"HTTP/1.1 200 OK\r\ncontent-length: 0\r\n\r\n").await.unwrap();
     let mut head = RequestHead::default();
@@ -37,7 +37,7 @@
 #[actix_rt::test]
 async fn connections_that_are_not_used_again_are_closed() {
     tokio::time::pause();
-    let pool = Pool::new(Kept { most: 2, idle: IDLE });
+    let pool = Pool::new(PoolLimits { max_idle: 2, idle_timeout: IDLE });
     let mut first = exchange(&pool).await;
     assert!(!closed(&mut first).await, "it is closed before its time");
     tokio::time::sleep(IDLE).await;
--- a/components/lifecycle/src/lib.rs
+++ b/components/lifecycle/src/lib.rs
@@ -9,7 +9,7 @@
 //!
 //! ```compile_fail
 //! let sent = lifecycle::Request::<lifecycle::Received>::new(ids::Request::new()).admit().queue().send();
-//! let again = sent.again(lifecycle::Repeatable::when(true).unwrap());
+//! let again = sent.requeue(lifecycle::Repeatable::if_idempotent(true).unwrap());
 //! again.not_run(lifecycle::Reason::Full);
 //! ```
 //!
@@ -20,11 +20,11 @@
 //! sent.send();
 //! ```
 
-mod course;
+mod attempts;
 
 use std::marker::PhantomData;
 
-pub use course::{Sending, Waiting};
+pub use attempts::{Sending, Waiting};
 
 derives::value! {
     /// Accepted from the network, not yet judged.
@@ -36,7 +36,7 @@
     /// A byte of it may have left for a backend server.
     pub struct Sent;
     /// Waits for a place again; an earlier attempt may have run.
-    pub struct Again;
+    pub struct Requeued;
     /// A byte of a further attempt may have left; an earlier one may have run.
     pub struct Resent;
     /// The caller has been given the start of the answer.
@@ -69,7 +69,7 @@
         /// It may have run.
         Unknown,
         /// The answer ended early, and the caller was told so.
-        Broken,
+        Truncated,
     }
 }
 
@@ -84,7 +84,7 @@
             Outcome::Complete => "complete",
             Outcome::NotRun(_) => "not-run",
             Outcome::Unknown => "unknown",
-            Outcome::Broken => "broken-off",
+            Outcome::Truncated => "broken-off",
         }
     }
 }
@@ -159,7 +159,7 @@
     }
 }
 
-impl Request<Again> {
+impl Request<Requeued> {
     /// From here a byte of another attempt may leave.
     pub fn send(self) -> Request<Resent> {
         self.next_attempt()
@@ -179,9 +179,9 @@
     /// The proof, if the request is idempotent.
     ///
     /// ```
-    /// assert!(lifecycle::Repeatable::when(false).is_none());
+    /// assert!(lifecycle::Repeatable::if_idempotent(false).is_none());
     /// ```
-    pub fn when(idempotent: bool) -> Option<Self> {
+    pub fn if_idempotent(idempotent: bool) -> Option<Self> {
         idempotent.then_some(Repeatable(()))
     }
 }
@@ -200,12 +200,12 @@
 
 impl Request<Sent> {
     /// The attempt provably ran nothing, so the request may wait again.
-    pub fn back(self, _: Unsent) -> Request<Queued> {
+    pub fn return_to_queue(self, _: Unsent) -> Request<Queued> {
         self.become_state()
     }
 
     /// The attempt may have run and is given up; another one may follow.
-    pub fn again(self, _: Repeatable) -> Request<Again> {
+    pub fn requeue(self, _: Repeatable) -> Request<Requeued> {
         self.become_state()
     }
 
@@ -228,7 +228,7 @@
 impl Request<Resent> {
     /// The attempt failed; another one may follow. Even if this one ran nothing, an earlier one may
     /// have.
-    pub fn again(self, _: Repeatable) -> Request<Again> {
+    pub fn requeue(self, _: Repeatable) -> Request<Requeued> {
         self.become_state()
     }
 
@@ -260,8 +260,8 @@
     }
 
     /// The answer ended early.
-    pub fn broken(self) -> Outcome {
-        Outcome::Broken
+    pub fn truncated(self) -> Outcome {
+        Outcome::Truncated
     }
 }
 
@@ -272,7 +272,7 @@
     }
 
     /// Nobody goes on with the answer.
-    pub fn broken(self) -> Outcome {
-        Outcome::Broken
+    pub fn truncated(self) -> Outcome {
+        Outcome::Truncated
     }
 }
--- a/components/router/src/cells.rs
+++ b/components/router/src/cells.rs
@@ -75,7 +75,7 @@
     state.view.borrow_mut().set_mates(mates);
     let servers = servers(&settings, &division, cell);
     let now = state.clock.now();
-    let mut scheduler = state.turns.scheduler.borrow_mut();
+    let mut scheduler = state.driver.scheduler.borrow_mut();
     for (key, server) in &settings.servers {
         if !servers.contains_key(&wire::key(&server.name)) {
             scheduler.set_share(key, Share { slots: 0, sent: 0, waiting: None }, now);
--- a/components/router/src/engines.rs
+++ b/components/router/src/engines.rs
@@ -81,7 +81,7 @@
     };
     if state.view.borrow_mut().reported(reported) {
         take(&state, &reported);
-        state.turns.pump();
+        state.driver.run_actions();
     }
 }
 
@@ -97,5 +97,5 @@
         token_interval: Duration::from_micros(load.token_interval_us.into()),
         leaving: load.leaving,
     };
-    state.turns.scheduler.borrow_mut().record_report(key, report, state.clock.now());
+    state.driver.scheduler.borrow_mut().record_report(key, report, state.clock.now());
 }
--- a/components/router/src/follow.rs
+++ b/components/router/src/follow.rs
@@ -57,10 +57,10 @@
     }
     log::info!(servers = now.len(); "backend servers leaving, by the list of VMs");
     if let Some(settings) = state.settings() {
-        terms::leave(&mut state.turns.scheduler.borrow_mut(), &settings, &before, &now);
+        terms::leave(&mut state.driver.scheduler.borrow_mut(), &settings, &before, &now);
     }
     drop(now);
-    state.turns.pump();
+    state.driver.run_actions();
 }
 
 /// Keys have their homes among the routers that stay.
--- a/components/router/src/keyed.rs
+++ b/components/router/src/keyed.rs
@@ -120,7 +120,7 @@
     };
     let limits = &settings.limits;
     let client = Client::new(limits.connect, left + limits.idle_stream + BEYOND);
-    let sending = Waiting::Fresh(life.queue()).send();
+    let sending = Waiting::Queued(life.queue()).send();
     let failure = match client.call(&call).await {
         Ok(Reply::Whole(whole)) => return whole_answer(&state, &parcel, sending, whole),
         Ok(Reply::Stream(source)) => return streamed(&state, &parcel, sending, source, held),
@@ -128,7 +128,7 @@
     };
     log::warn!(request:% = id, home = owner.name.as_str(), cause:% = failure; "home gave no answer");
     let unsent = failure.unsent().then(Unsent::vouch);
-    let outcome = match sending.failed(unsent, None) {
+    let outcome = match sending.fail(unsent, None) {
         Ok(waiting) => waiting.refuse(Reason::NoServer),
         Err(outcome) => outcome,
     };
@@ -250,7 +250,7 @@
             }
             Err(cause) => {
                 log::warn!(request:% = id, cause:% = cause; "stream from the home broke off");
-                relay::note(&self.state, id, &self.class, life.broken());
+                relay::note(&self.state, id, &self.class, life.truncated());
                 self.cut = true;
                 let event = if self.told { Bytes::new() } else { passing::broken(id) };
                 Some(Ok(event))
--- a/components/router/src/lib.rs
+++ b/components/router/src/lib.rs
@@ -68,7 +68,7 @@
         engines::start(&state);
         peers::start(&state);
         orders::start(&state);
-        state.turns.start();
+        state.driver.spawn_timer();
         Ok(Router { state, callers, peers, operators })
     }
 
--- a/components/router/src/operators.rs
+++ b/components/router/src/operators.rs
@@ -38,7 +38,7 @@
     let peers = view.members().filter(|(_, member)| member.heard.is_some_and(heard)).count();
     let settings = state.settings();
     state.metrics.peers(peers);
-    let held = state.turns.scheduler.borrow().current_demand();
+    let held = state.driver.scheduler.borrow().current_demand();
     for (key, class) in settings.iter().flat_map(|settings| &settings.classes) {
         let work = held.iter().find(|work| work.class == key);
         let (waiting, sent) = work.map_or((0, 0), |work| (work.waiting, work.sent));
@@ -50,7 +50,7 @@
 fn status(state: &State) -> serde_json::Value {
     let now = state.clock.now();
     let settings = state.settings();
-    let scheduler = state.turns.scheduler.borrow();
+    let scheduler = state.driver.scheduler.borrow();
     let view = state.view.borrow();
     let servers = settings.iter().flat_map(|settings| &settings.servers);
     let servers = servers.map(|(key, server)| {
--- a/components/router/src/peers.rs
+++ b/components/router/src/peers.rs
@@ -80,7 +80,7 @@
 /// What this node tells of itself now.
 pub(crate) fn own(state: &State) -> Own {
     let settings = state.settings();
-    let scheduler = state.turns.scheduler.borrow();
+    let scheduler = state.driver.scheduler.borrow();
     let cells = state.cells.borrow();
     let counts =
         cells.servers().map(|(server, key)| Sent { server, count: scheduler.in_flight_at(key) });
@@ -150,7 +150,7 @@
             actix_rt::spawn(tell(state.clone(), target));
         }
         shares::apply(&state, &own);
-        state.turns.pump();
+        state.driver.run_actions();
         drop(state);
         tokio::time::sleep(period).await;
     }
--- a/components/router/src/place.rs
+++ b/components/router/src/place.rs
@@ -15,7 +15,7 @@
 /// The place of a request among the decisions. Dropped before its end, the caller went away.
 pub(crate) struct Place {
     pub(crate) state: Rc<State>,
-    inner: driver::Place,
+    inner: driver::Submission,
     /// Hash of what the request asks.
     content: u64,
     /// When it was sent last.
@@ -24,29 +24,29 @@
 
 impl Place {
     pub(crate) fn new(state: &Rc<State>, parcel: &Parcel) -> Self {
-        let inner = driver::Place::new(&state.turns, parcel.request.clone());
+        let inner = driver::Submission::new(&state.driver, parcel.request.clone());
         let sent = state.clock.now();
         Place { state: state.clone(), inner, content: parcel.content(), sent }
     }
 
     /// Waits until the request may go to a server.
     pub(crate) async fn turn(&mut self) -> Result<Rc<Server>, Refused> {
-        self.state.crashes.admit(self.content)?;
+        self.state.crashes.check_quarantine(self.content)?;
         loop {
-            let server = self.inner.turn().await?;
+            let server = self.inner.wait_for_server().await?;
             let settings = self.state.settings();
             let known = settings.and_then(|settings| settings.servers.get(server).cloned());
             match known {
                 Some(server) => return self.pass(server),
                 None if self.end(Ending::NotRun) => {}
-                None => return Err(Refused::NOBODY),
+                None => return Err(Refused::NO_SERVER),
             }
         }
     }
 
     /// Lets the request go to a server, unless others like it have crashed servers while it waited.
     fn pass(&mut self, server: Rc<Server>) -> Result<Rc<Server>, Refused> {
-        if let Err(refused) = self.state.crashes.pass(self.content) {
+        if let Err(refused) = self.state.crashes.begin_attempt(self.content) {
             self.end(Ending::Cancelled);
             return Err(refused);
         }
@@ -60,26 +60,26 @@
         if self.state.leaving.borrow().contains(address) {
             return;
         }
-        let server = Target { start: None, address: address.to_string() };
-        self.state.crashes.lost(server, self.content, self.sent);
+        let server = Target { instance: None, address: address.to_string() };
+        self.state.crashes.record_lost_connection(server, self.content, self.sent);
     }
 
     /// Waits until the decisions want the attempt stopped.
     pub(crate) async fn stopped(&mut self) {
-        self.inner.stopped().await;
+        self.inner.wait_for_stop().await;
     }
 
     /// Notes tokens that came.
     pub(crate) fn tokens(&self, count: u32) {
-        self.inner.tokens(count);
+        self.inner.record_tokens(count);
     }
 
     /// Ends the attempt; returns whether the job waits again. If so, [`Place::turn`] must follow
     /// without a pause, since a turn that nobody awaits is given up.
     pub(crate) fn end(&mut self, ending: Ending) -> bool {
         if ending == Ending::Completed {
-            self.state.crashes.completed(self.content);
+            self.state.crashes.record_completion(self.content);
         }
-        self.inner.end(ending)
+        self.inner.end_attempt(ending)
     }
 }
--- a/components/router/src/relay.rs
+++ b/components/router/src/relay.rs
@@ -75,7 +75,7 @@
 
     /// Proof that it may run more than once, if it may.
     pub(crate) fn repeatable(&self) -> Option<Repeatable> {
-        Repeatable::when(self.class.idempotent)
+        Repeatable::if_idempotent(self.class.idempotent)
     }
 }
 
@@ -158,7 +158,7 @@
 pub(crate) async fn serve(state: Rc<State>, job: Job, held: Held) -> Answer {
     let Job { life, parcel } = job;
     let id = life.id();
-    let waiting = Waiting::Fresh(life.queue());
+    let waiting = Waiting::Queued(life.queue());
     let mut place = Place::new(&state, &parcel);
     let mut queued = Queued(Some(parcel));
     let turn = place.turn().await;
@@ -200,12 +200,12 @@
         };
         state.metrics.failed(&parcel.class.name);
         let again = place.end(trouble.ending());
-        waiting = match sending.failed(trouble.unsent(), parcel.repeatable()) {
+        waiting = match sending.fail(trouble.unsent(), parcel.repeatable()) {
             Ok(waiting) => waiting,
             Err(outcome) => return unknown(&state, &parcel, id, outcome),
         };
         if !again {
-            return refuse(&state, &parcel, waiting, Refused::NOBODY);
+            return refuse(&state, &parcel, waiting, Refused::NO_SERVER);
         }
         server = match place.turn().await {
             Ok(server) => server,
@@ -227,11 +227,11 @@
         Err(trouble) => trouble,
     };
     trouble.note(place, call.id, call.attempt);
-    let proof = Repeatable::when(server.keyed && call.key.is_some());
+    let proof = Repeatable::if_idempotent(server.keyed && call.key.is_some());
     if parcel.class.idempotent || proof.is_none() || trouble.unsent().is_some() {
         return (sending, Err(trouble));
     }
-    let sending = match sending.failed(None, proof) {
+    let sending = match sending.fail(None, proof) {
         Ok(waiting) => waiting.send(),
         Err(_) => unreachable!("a proof was given"),
     };
@@ -247,7 +247,7 @@
 /// the turn was given, and its answer be of no use any more.
 fn overtaken(state: &State, parcel: &Parcel) -> Option<Refused> {
     let late = state.clock.now() >= parcel.request.deadline;
-    late.then_some(Refused { refusal: Refusal::Late, ..Refused::NOBODY })
+    late.then_some(Refused { refusal: Refusal::Late, ..Refused::NO_SERVER })
 }
 
 /// The start of an answer that may be passed on.
@@ -313,7 +313,7 @@
     }
     note(state, id, &parcel.class.name, outcome);
     state.metrics.refusal(answer::refusal(refused.refusal));
-    let again = refused.again;
+    let again = refused.retry_after;
     let error = Error::Refused(answer::refusal(refused.refusal), again.as_millis());
     answer::error(id, outcome, &error, Some(again))
 }
--- a/components/router/src/shares.rs
+++ b/components/router/src/shares.rs
@@ -37,7 +37,7 @@
             by_model.insert(*model, held + f64::from(server.slots));
         }
     }
-    let mut scheduler = state.turns.scheduler.borrow_mut();
+    let mut scheduler = state.driver.scheduler.borrow_mut();
     for (name, key, server) in used() {
         if unfit.contains(&name) {
             scheduler.set_share(key, policy::Share { slots: 0, sent: 0, waiting: None }, now);
--- a/components/router/src/state.rs
+++ b/components/router/src/state.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, SystemTime};
 
 use clock::Clock;
-use driver::{Crashes, Turns};
+use driver::{Crashes, Driver};
 use policy::Scheduler;
 use settings::Effective;
 use settings::node::Node;
@@ -38,7 +38,7 @@
     /// Why the newest revision was refused, until a good one comes.
     pub(crate) refused: RefCell<Option<String>>,
     pub(crate) revisions: Revisions,
-    pub(crate) turns: Rc<Turns>,
+    pub(crate) driver: Rc<Driver>,
     /// Requests that servers crashed under.
     pub(crate) crashes: Rc<Crashes>,
     pub(crate) view: RefCell<fleet::View>,
@@ -79,7 +79,7 @@
             settings: RefCell::default(),
             refused: RefCell::default(),
             revisions: Revisions::new(),
-            turns: Turns::new(scheduler, clock),
+            driver: Driver::new(scheduler, clock),
             crashes: Crashes::new(seed, clock),
             view: RefCell::new(fleet::View::new()),
             exchange: RefCell::new(fleet::exchange::Exchange::new(CONTROL, clock.now())),
@@ -142,9 +142,9 @@
             return;
         }
         let last = self.settings();
-        terms::apply(&mut self.turns.scheduler.borrow_mut(), last.as_deref(), &effective);
+        terms::apply(&mut self.driver.scheduler.borrow_mut(), last.as_deref(), &effective);
         let leaving = self.leaving.borrow().clone();
-        terms::leave(&mut self.turns.scheduler.borrow_mut(), &effective, &leaving, &leaving);
+        terms::leave(&mut self.driver.scheduler.borrow_mut(), &effective, &leaving, &leaving);
         let limits = &effective.limits;
         let waits = |limits: &settings::Limits| (limits.connect, limits.idle_stream);
         if last.is_none_or(|last| waits(&last.limits) != waits(limits)) {
@@ -157,7 +157,7 @@
         self.metrics.settings.conflict(false);
         *self.refused.borrow_mut() = None;
         *self.settings.borrow_mut() = Some(Rc::new(effective));
-        self.turns.pump();
+        self.driver.run_actions();
     }
 }
 
--- a/components/router/src/stream.rs
+++ b/components/router/src/stream.rs
@@ -126,7 +126,7 @@
         let life = self.life.take()?;
         let id = life.id();
         self.broken = true;
-        note(&self.place.state, id, &self.parcel.class.name, life.broken());
+        note(&self.place.state, id, &self.parcel.class.name, life.truncated());
         Some(Ok(broken(id)))
     }
 
@@ -196,7 +196,7 @@
     let error = serde_json::json!({"error": {
         "message": "the answer broke off; what came isn't whole, send the request again",
         "type": "server_error",
-        "outcome": Outcome::Broken.as_str(),
+        "outcome": Outcome::Truncated.as_str(),
         "request_id": id.to_string(),
     }});
     Bytes::from(format!("{BROKEN}data: {error}\n\n"))
