--- a/components/driver/src/crashes.rs
+++ b/components/driver/src/crashes.rs
@@ -1,7 +1,8 @@
-//! Finds out which servers crashed under which requests.
+//! Detects server crashes, and records them against the requests that the server was running.
 //!
-//! A connection that ends early tells little: it may have been reset on the way, or by a server that is
-//! well. So the server is asked for another one, and only where nothing listens any more has it crashed.
+//! A connection that ends early doesn't prove a crash: it may have been reset on the way, or by a healthy
+//! server. So the server is probed with a new connection, and counts as crashed only if that is refused,
+//! which means that nothing listens any more.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -15,40 +16,41 @@
 
 use crate::submission::Refused;
 
-/// Time between the end of a connection and the question whether its server listens: a process that ends
-/// closes all it has open within it.
-const SETTLE: Duration = Duration::from_millis(20);
-/// Time in which a server that is there accepts a connection.
-const CONNECT: Duration = Duration::from_millis(300);
+/// Time between the end of a connection and the probe of its server. A process that exits closes all of
+/// its sockets within this time.
+const PROBE_DELAY: Duration = Duration::from_millis(20);
+/// Time within which a running server accepts a connection.
+const PROBE_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// A server as it was when a request was sent to it.
+/// A server process that a request was sent to.
 #[derive(Clone, Debug)]
 pub struct Target {
-    /// Key of this start of it, the same at all nodes; none if its starts can't be told apart.
+    /// Key of the process: another one after each restart, and the same on all nodes; none if restarts
+    /// can't be told apart.
     pub instance: Option<u32>,
-    /// IP number and port.
+    /// IP address and port.
     pub address: String,
 }
 
 /// A request whose connection ended early.
 #[derive(Clone, Copy, Debug)]
-struct Lost {
+struct Interrupted {
     content: u64,
     sent: Instant,
     at: Instant,
 }
 
-/// Requests that servers crashed under.
+/// Server crashes, and the requests that are blocked because of them.
 pub struct Crashes {
-    /// What is known of them.
+    /// The requests that may crash servers.
     pub quarantine: RefCell<Quarantine>,
     clock: clock::Runtime,
-    /// Servers that are being asked whether they are there.
-    asked: RefCell<HashMap<String, Vec<Lost>>>,
+    /// The servers that are being probed, by address, and the requests that each one interrupted.
+    probes: RefCell<HashMap<String, Vec<Interrupted>>>,
 }
 
 impl Crashes {
-    /// For a node that draws its times by a seed.
+    /// Creates an empty table. Nodes with different seeds end their blocks at different times.
     ///
     /// ```
     /// let crashes = driver::Crashes::new(7, clock::Runtime::new());
@@ -56,54 +58,57 @@
     /// ```
     pub fn new(seed: u64, clock: clock::Runtime) -> Rc<Self> {
         let quarantine = RefCell::new(Quarantine::new(seed));
-        Rc::new(Crashes { quarantine, clock, asked: RefCell::default() })
+        Rc::new(Crashes { quarantine, clock, probes: RefCell::default() })
     }
 
-    /// Takes in that the connection of a request, which was sent at a time, ended early. Asks its server
-    /// whether it has crashed.
+    /// Records that the connection of a request, which was sent at `sent`, ended early. Starts a probe of
+    /// its server, unless one is in progress.
     pub fn record_lost_connection(self: &Rc<Self>, server: Target, content: u64, sent: Instant) {
-        let mut asked = self.asked.borrow_mut();
-        let first = !asked.contains_key(&server.address);
-        let lost = Lost { content, sent, at: self.clock.now() };
-        asked.entry(server.address.clone()).or_default().push(lost);
+        let mut probes = self.probes.borrow_mut();
+        let first = !probes.contains_key(&server.address);
+        let interrupted = Interrupted { content, sent, at: self.clock.now() };
+        probes.entry(server.address.clone()).or_default().push(interrupted);
         if first {
-            actix_rt::spawn(self.clone().ask(server));
+            actix_rt::spawn(self.clone().probe(server));
         }
     }
 
-    async fn ask(self: Rc<Self>, server: Target) {
-        tokio::time::sleep(SETTLE).await;
-        let answer = Connection::connect(&server.address, CONNECT).await;
-        let refused = answer.is_err_and(|cause| cause.kind() == ErrorKind::ConnectionRefused);
-        let lost = self.asked.borrow_mut().remove(&server.address).unwrap_or_default();
+    /// Probes a server, and records a crash against all requests that it interrupted if it refuses the
+    /// connection.
+    async fn probe(self: Rc<Self>, server: Target) {
+        tokio::time::sleep(PROBE_DELAY).await;
+        let result = Connection::connect(&server.address, PROBE_TIMEOUT).await;
+        let refused = result.is_err_and(|cause| cause.kind() == ErrorKind::ConnectionRefused);
+        let interrupted = self.probes.borrow_mut().remove(&server.address).unwrap_or_default();
         if !refused {
             return;
         }
-        let server_key = server.instance.unwrap_or_else(rand::random);
+        // Without a key, each detected crash counts as one of another process.
+        let instance = server.instance.unwrap_or_else(rand::random);
         let (mut quarantine, now) = (self.quarantine.borrow_mut(), self.clock.now());
-        for Lost { content, sent, at } in lost.iter().copied() {
-            let before = quarantine.blocked_for(content, now);
-            quarantine.record_crash(content, Crash { instance: server_key, sent, at }, now);
-            if let (None, Some(held)) = (before, quarantine.blocked_for(content, now)) {
-                let (content, held_ms) = (format!("{content:016x}"), held.as_millis() as u64);
+        for Interrupted { content, sent, at } in interrupted.iter().copied() {
+            let blocked_before = quarantine.blocked_for(content, now);
+            quarantine.record_crash(content, Crash { instance, sent, at }, now);
+            if let (None, Some(blocked)) = (blocked_before, quarantine.blocked_for(content, now)) {
+                let (content, blocked_ms) = (format!("{content:016x}"), blocked.as_millis() as u64);
                 log::warn!(
-                    content = content.as_str(), held_ms = held_ms;
-                    "servers crash under a request, it is held back"
+                    content = content.as_str(), held_ms = blocked_ms;
+                    "request blocked: servers crashed while they ran it"
                 );
             }
         }
-        log::warn!(address = server.address.as_str(), requests = lost.len(); "a server crashed");
+        log::warn!(address = server.address.as_str(), requests = interrupted.len(); "server crashed");
     }
 
-    /// Takes in that a request got a whole answer, good or bad.
+    /// Records that a request got a complete answer, be it a success or an error.
     pub fn record_completion(&self, content: u64) {
         self.quarantine.borrow_mut().record_completion(content, self.clock.now());
     }
 
-    /// Whether a request may wait for a server.
+    /// Checks whether a request may wait for a server.
     ///
     /// # Errors
-    /// When it is held back.
+    /// When it is blocked.
     pub fn check_quarantine(&self, content: u64) -> Result<(), Refused> {
         match self.quarantine.borrow().blocked_for(content, self.clock.now()) {
             Some(retry_after) => Err(Refused { refusal: Refusal::Quarantined, retry_after }),
@@ -111,12 +116,13 @@
         }
     }
 
-    /// Whether a request may be sent now. Others may have crashed servers while it waited.
+    /// Checks whether a request may be sent now: requests with the same content may have crashed servers
+    /// while it waited. After a block, this starts a trial attempt ([`Quarantine::begin_attempt`]).
     ///
     /// # Errors
-    /// When it is held back.
+    /// When it is blocked.
     pub fn begin_attempt(&self, content: u64) -> Result<(), Refused> {
-        let passed = self.quarantine.borrow_mut().begin_attempt(content, self.clock.now());
-        passed.map_err(|retry_after| Refused { refusal: Refusal::Quarantined, retry_after })
+        let result = self.quarantine.borrow_mut().begin_attempt(content, self.clock.now());
+        result.map_err(|retry_after| Refused { refusal: Refusal::Quarantined, retry_after })
     }
 }
--- a/components/driver/src/fingerprint.rs
+++ b/components/driver/src/fingerprint.rs
@@ -1,10 +1,10 @@
-//! Tells whether two requests ask for the same, whoever carries them.
+//! Computes a fingerprint of a request's content, the same on all nodes and for each retry by the caller.
 //!
-//! Each try of a caller has an id of its own, so ids can't tell that a request has come back.
+//! Each retry has an id of its own, so ids can't show that a request has come back.
 
 use xxhash_rust::xxh3::Xxh3;
 
-/// Hash of the fields of a request that say what it asks and for whom.
+/// Hash of the fields that identify the content of a request and its workspace.
 ///
 /// ```
 /// let draft = driver::fingerprint(&[b"choir", b"/draft", b"an arc"]);
@@ -13,7 +13,7 @@
 pub fn fingerprint(fields: &[&[u8]]) -> u64 {
     let mut hash = Xxh3::new();
     for field in fields {
-        // The length keeps two lists of fields from running together.
+        // The length keeps lists apart that differ only in where one field ends and the next begins.
         hash.update(&(field.len() as u64).to_le_bytes());
         hash.update(field);
     }
--- a/components/driver/src/fingerprint/tests.rs
+++ b/components/driver/src/fingerprint/tests.rs
@@ -1,6 +1,6 @@
 use super::fingerprint;
 
-/// Guards against requests that differ in one field being taken for each other.
+/// Guards against taking requests for the same that differ in one field, or only in where a field ends.
 #[test]
 fn each_field_counts() {
     let request: [&[u8]; 3] = [b"choir", b"/draft/a", b"arc"];
--- a/components/driver/src/lib.rs
+++ b/components/driver/src/lib.rs
@@ -1,5 +1,5 @@
-//! Drives the decisions: carries time and events to the scheduler, and its actions to the tasks
-//! that wait for them.
+//! Drives the scheduler: passes time and events to it, and its actions to the tasks that serve the
+//! requests.
 
 mod crashes;
 mod fingerprint;
@@ -18,22 +18,24 @@
 pub use fingerprint::fingerprint;
 pub use submission::{Refused, Submission};
 
-/// How long the decisions may sleep when nothing is due.
-const SLEEP: Duration = Duration::from_secs(1);
+/// Longest time between two polls of the scheduler, also while nothing is due.
+const MAX_POLL_INTERVAL: Duration = Duration::from_secs(1);
 
-/// The scheduler and those who wait for its word.
+/// The scheduler, and the channels to the tasks that wait for its actions.
 pub struct Driver {
-    /// The decisions.
+    /// The scheduler; call [`Driver::run_actions`] after changing it.
     pub scheduler: RefCell<Scheduler>,
     clock: clock::Runtime,
-    waiting: RefCell<SecondaryMap<ids::Job, oneshot::Sender<Action>>>,
-    /// How a job that was sent is told to stop.
-    stops: RefCell<SecondaryMap<ids::Job, oneshot::Sender<()>>>,
-    changed: Notify,
+    /// Channels to the tasks that wait for a job to be sent or refused.
+    action_senders: RefCell<SecondaryMap<ids::Job, oneshot::Sender<Action>>>,
+    /// Channels to the tasks of sent jobs, by which an attempt is stopped.
+    stop_senders: RefCell<SecondaryMap<ids::Job, oneshot::Sender<()>>>,
+    /// Notified after each poll, so that the timer reads the next due time again.
+    polled: Notify,
 }
 
 impl Driver {
-    /// Drives a scheduler.
+    /// Creates the driver of a scheduler; [`Driver::spawn_timer`] starts its timer.
     ///
     /// ```
     /// let driver = driver::Driver::new(policy::Scheduler::with_seed(1), clock::Runtime::new());
@@ -43,13 +45,14 @@
         Rc::new(Driver {
             scheduler: RefCell::new(scheduler),
             clock,
-            waiting: RefCell::default(),
-            stops: RefCell::default(),
-            changed: Notify::new(),
+            action_senders: RefCell::default(),
+            stop_senders: RefCell::default(),
+            polled: Notify::new(),
         })
     }
 
-    /// Carries out what the decisions ask for now.
+    /// Polls the scheduler and passes the actions that are due to their tasks. A job whose task no
+    /// longer waits is cancelled when it would be sent.
     pub fn run_actions(&self) {
         let mut actions = vec![];
         self.scheduler.borrow_mut().poll(self.clock.now(), &mut actions);
@@ -57,32 +60,35 @@
             let job = match action {
                 Action::Send { job, .. } | Action::Refuse { job, .. } => job,
                 Action::Stop { job } => {
-                    if let Some(sender) = self.stops.borrow_mut().remove(job) {
+                    if let Some(sender) = self.stop_senders.borrow_mut().remove(job) {
                         let _ = sender.send(());
                     }
                     continue;
                 }
             };
-            let sender = self.waiting.borrow_mut().remove(job);
-            let unheard = sender.is_none_or(|sender| sender.send(action).is_err());
-            if unheard && matches!(action, Action::Send { .. }) {
+            let sender = self.action_senders.borrow_mut().remove(job);
+            let undelivered = sender.is_none_or(|sender| sender.send(action).is_err());
+            if undelivered && matches!(action, Action::Send { .. }) {
                 self.scheduler.borrow_mut().attempt_ended(job, Ending::Cancelled, self.clock.now());
             }
         }
-        self.changed.notify_one();
+        self.polled.notify_one();
     }
 
-    /// Starts the task that wakes the decisions when something falls due; it ends with `self`.
+    /// Starts the task that polls the scheduler when something falls due; it ends once `self` is
+    /// dropped.
     pub fn spawn_timer(self: &Rc<Self>) {
         let weak = Rc::downgrade(self);
         actix_rt::spawn(async move {
             while let Some(driver) = weak.upgrade() {
                 let due = driver.scheduler.borrow().next_due();
                 let now = driver.clock.now();
-                let wait = due.map_or(SLEEP, |due| due.saturating_duration_since(now).min(SLEEP));
+                let wait = due.map_or(MAX_POLL_INTERVAL, |due| {
+                    due.saturating_duration_since(now).min(MAX_POLL_INTERVAL)
+                });
                 tokio::select! {
                     _ = tokio::time::sleep(wait) => driver.run_actions(),
-                    _ = driver.changed.notified() => {}
+                    _ = driver.polled.notified() => {}
                 }
             }
         });
--- a/components/driver/src/submission.rs
+++ b/components/driver/src/submission.rs
@@ -1,4 +1,4 @@
-//! The place of a request among the decisions.
+//! Submits a request to the scheduler and follows it until its end.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -9,108 +9,118 @@
 
 use crate::Driver;
 
-/// What a caller is told to wait where the decisions don't say.
+/// Time after which callers may retry, where the scheduler states none.
 const DEFAULT_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// The decisions gave the request up.
+/// The request was refused.
 #[derive(Clone, Copy, Debug)]
 pub struct Refused {
-    /// Why.
+    /// The reason for the refusal.
     pub refusal: Refusal,
-    /// When it is worth trying again.
+    /// Time after which a retry by the caller has a chance.
     pub retry_after: Duration,
 }
 
 impl Refused {
-    /// No backend server may take it.
+    /// No backend server may serve the request.
     pub const NO_SERVER: Refused =
         Refused { refusal: Refusal::NoServer, retry_after: DEFAULT_RETRY_AFTER };
 }
 
-/// The place of a request among the decisions. Dropped before its end, the caller went away.
+/// A request that was submitted to the scheduler. Dropping it means that the caller disconnected: a
+/// sent request is cancelled, and a waiting one is withdrawn.
 pub struct Submission {
-    /// What drives the decisions.
+    /// The driver of the scheduler.
     pub driver: Rc<Driver>,
-    /// The request.
+    /// The scheduler's key of the request.
     pub job: ids::Job,
-    stop: Option<oneshot::Receiver<()>>,
-    sent: bool,
-    over: bool,
+    stop_receiver: Option<oneshot::Receiver<()>>,
+    /// An attempt was sent and hasn't ended.
+    in_flight: bool,
+    /// The scheduler no longer knows the request.
+    finished: bool,
 }
 
 impl Submission {
     /// Submits a request.
     pub fn new(driver: &Rc<Driver>, request: policy::Request) -> Self {
         let job = driver.scheduler.borrow_mut().submit(request, driver.clock.now());
-        Submission { driver: driver.clone(), job, stop: None, sent: false, over: false }
+        Submission {
+            driver: driver.clone(),
+            job,
+            stop_receiver: None,
+            in_flight: false,
+            finished: false,
+        }
     }
 
-    /// Waits until the request may go to a server.
+    /// Waits until the scheduler assigns a server to the request; returns the server.
     ///
     /// # Errors
-    /// When the decisions gave it up.
+    /// When the scheduler refuses the request.
     pub async fn wait_for_server(&mut self) -> Result<ids::Server, Refused> {
         let (sender, receiver) = oneshot::channel();
-        self.driver.waiting.borrow_mut().insert(self.job, sender);
+        self.driver.action_senders.borrow_mut().insert(self.job, sender);
         self.driver.run_actions();
         let server = match receiver.await {
             Ok(Action::Send { server, .. }) => server,
             Ok(Action::Refuse { refusal, retry_after, .. }) => {
-                self.over = true;
+                self.finished = true;
                 return Err(Refused { refusal, retry_after });
             }
             Ok(Action::Stop { .. }) | Err(_) => return Err(Refused::NO_SERVER),
         };
-        self.sent = true;
+        self.in_flight = true;
         let (sender, receiver) = oneshot::channel();
-        self.driver.stops.borrow_mut().insert(self.job, sender);
-        self.stop = Some(receiver);
+        self.driver.stop_senders.borrow_mut().insert(self.job, sender);
+        self.stop_receiver = Some(receiver);
         Ok(server)
     }
 
-    /// What was expected of the engine that the request was sent to.
+    /// The scheduler's estimate for the engine that the request was sent to.
     pub fn expected(&self) -> Option<Expected> {
         self.driver.scheduler.borrow().expected(self.job)
     }
 
-    /// Waits until the decisions want the attempt stopped.
+    /// Waits until the scheduler stops the attempt; never returns if it doesn't.
     pub async fn wait_for_stop(&mut self) {
-        if let Some(stop) = &mut self.stop
-            && stop.await.is_ok()
+        if let Some(receiver) = &mut self.stop_receiver
+            && receiver.await.is_ok()
         {
-            self.stop = None;
+            self.stop_receiver = None;
             return;
         }
         std::future::pending().await
     }
 
-    /// Notes tokens of the attempt that came; the first call tells of the first.
+    /// Records tokens of the attempt that arrived; the first call marks its first token.
     pub fn record_tokens(&self, count: u32) {
         let now = self.driver.clock.now();
         self.driver.scheduler.borrow_mut().record_tokens(self.job, count, now);
     }
 
-    /// Ends the attempt; returns whether the job waits again. If so, [`Submission::wait_for_server`] must follow
-    /// without a pause, since a turn that nobody awaits is given up.
+    /// Ends the attempt; returns whether the request is queued again. If it is, call
+    /// [`Submission::wait_for_server`] before awaiting anything else: the driver cancels a request
+    /// that gets a server while no task waits for it.
     pub fn end_attempt(&mut self, ending: Ending) -> bool {
-        self.sent = false;
-        self.stop = None;
-        self.driver.stops.borrow_mut().remove(self.job);
+        self.in_flight = false;
+        self.stop_receiver = None;
+        self.driver.stop_senders.borrow_mut().remove(self.job);
         let now = self.driver.clock.now();
-        let again = self.driver.scheduler.borrow_mut().attempt_ended(self.job, ending, now);
-        self.over = !again;
-        again
+        let queued_again = self.driver.scheduler.borrow_mut().attempt_ended(self.job, ending, now);
+        self.finished = !queued_again;
+        queued_again
     }
 }
 
 impl Drop for Submission {
     fn drop(&mut self) {
-        if !self.over && self.sent {
+        if !self.finished && self.in_flight {
             self.end_attempt(Ending::Cancelled);
-        } else if !self.over {
+        } else if !self.finished {
             let now = self.driver.clock.now();
             self.driver.scheduler.borrow_mut().withdraw(self.job, now);
-            self.driver.waiting.borrow_mut().remove(self.job);
+            self.driver.action_senders.borrow_mut().remove(self.job);
         }
         self.driver.run_actions();
     }
