--- a/components/lifecycle/src/attempts.rs
+++ b/components/lifecycle/src/attempts.rs
@@ -1,8 +1,10 @@
+//! Follows a request through its attempts where the types can't tell whether an earlier one may have run.
+
 use crate::{
     Outcome, Queued, Reason, Repeatable, Request, Requeued, Resent, Sent, Streaming, Unsent,
 };
 
-/// A request that waits for a place, whatever came before.
+/// A request that waits for a slot at a backend server.
 #[derive(Debug)]
 pub enum Waiting {
     /// Nothing of it can have run.
@@ -15,37 +17,39 @@
     /// Identifier of the request.
     pub fn id(&self) -> ids::Request {
         match self {
-            Waiting::Queued(life) => life.id(),
-            Waiting::Requeued(life) => life.id(),
+            Waiting::Queued(request) => request.id(),
+            Waiting::Requeued(request) => request.id(),
         }
     }
 
-    /// From here a byte of an attempt may leave.
+    /// Starts an attempt. Call it before the first byte is sent.
     pub fn send(self) -> Sending {
         match self {
-            Waiting::Queued(life) => Sending::Sent(life.send()),
-            Waiting::Requeued(life) => Sending::Resent(life.send()),
+            Waiting::Queued(request) => Sending::Sent(request.send()),
+            Waiting::Requeued(request) => Sending::Resent(request.send()),
         }
     }
 
-    /// No further attempt is made.
+    /// Ends the request without a further attempt: as not run, or as unknown if an earlier attempt may
+    /// have run.
     ///
     /// ```
     /// use lifecycle::{Outcome, Reason, Repeatable, Request, Unsent, Waiting};
     /// let waiting = Waiting::Queued(Request::new(ids::Request::new()).admit().queue());
     /// let lost = waiting.send().fail(None, Repeatable::if_idempotent(true)).unwrap();
-    /// let declined = lost.send().fail(Some(Unsent::vouch()), Repeatable::if_idempotent(true)).unwrap();
+    /// let proof = Repeatable::if_idempotent(true);
+    /// let declined = lost.send().fail(Some(Unsent::vouch()), proof).unwrap();
     /// assert_eq!(declined.refuse(Reason::Full), Outcome::Unknown);
     /// ```
     pub fn refuse(self, reason: Reason) -> Outcome {
         match self {
-            Waiting::Queued(life) => life.not_run(reason),
-            Waiting::Requeued(life) => life.unknown(),
+            Waiting::Queued(request) => request.not_run(reason),
+            Waiting::Requeued(request) => request.unknown(),
         }
     }
 }
 
-/// A request of which a byte may have left.
+/// A request of which some bytes may have been sent.
 #[derive(Debug)]
 pub enum Sending {
     /// Its first attempt, or a later one after attempts that ran nothing.
@@ -58,50 +62,57 @@
     /// Identifier of the request.
     pub fn id(&self) -> ids::Request {
         match self {
-            Sending::Sent(life) => life.id(),
-            Sending::Resent(life) => life.id(),
+            Sending::Sent(request) => request.id(),
+            Sending::Resent(request) => request.id(),
         }
     }
 
-    /// Number of the attempt.
+    /// Number of the attempt, from 1.
     pub fn attempt(&self) -> u32 {
         match self {
-            Sending::Sent(life) => life.attempt(),
-            Sending::Resent(life) => life.attempt(),
+            Sending::Sent(request) => request.attempt(),
+            Sending::Resent(request) => request.attempt(),
         }
     }
 
-    /// The attempt failed: with `unsent` it provably ran nothing, else the request waits again only
-    /// if it may run more than once. The error is its outcome.
+    /// Ends a failed attempt. With `unsent`, it provably ran nothing. Otherwise, the request is queued
+    /// again only if it may run more than once.
+    ///
+    /// # Errors
+    /// The outcome of the request, if no further attempt may follow.
     pub fn fail(
         self,
         unsent: Option<Unsent>,
         repeatable: Option<Repeatable>,
     ) -> Result<Waiting, Outcome> {
         match (self, unsent, repeatable) {
-            (Sending::Sent(life), Some(unsent), _) => {
-                Ok(Waiting::Queued(life.return_to_queue(unsent)))
+            (Sending::Sent(request), Some(unsent), _) => {
+                Ok(Waiting::Queued(request.return_to_queue(unsent)))
+            }
+            (Sending::Sent(request), None, Some(proof)) => {
+                Ok(Waiting::Requeued(request.requeue(proof)))
+            }
+            (Sending::Sent(request), None, None) => Err(request.unknown()),
+            (Sending::Resent(request), _, Some(proof)) => {
+                Ok(Waiting::Requeued(request.requeue(proof)))
             }
-            (Sending::Sent(life), None, Some(proof)) => Ok(Waiting::Requeued(life.requeue(proof))),
-            (Sending::Sent(life), None, None) => Err(life.unknown()),
-            (Sending::Resent(life), _, Some(proof)) => Ok(Waiting::Requeued(life.requeue(proof))),
-            (Sending::Resent(life), _, None) => Err(life.unknown()),
+            (Sending::Resent(request), _, None) => Err(request.unknown()),
         }
     }
 
-    /// The start of the answer goes to the caller.
+    /// The start of the answer is passed to the caller.
     pub fn stream(self) -> Request<Streaming> {
         match self {
-            Sending::Sent(life) => life.stream(),
-            Sending::Resent(life) => life.stream(),
+            Sending::Sent(request) => request.stream(),
+            Sending::Resent(request) => request.stream(),
         }
     }
 
-    /// The whole answer was passed on at once.
+    /// The complete answer was passed to the caller at once.
     pub fn complete(self) -> Outcome {
         match self {
-            Sending::Sent(life) => life.complete(),
-            Sending::Resent(life) => life.complete(),
+            Sending::Sent(request) => request.complete(),
+            Sending::Resent(request) => request.complete(),
         }
     }
 }
--- a/components/lifecycle/src/lib.rs
+++ b/components/lifecycle/src/lib.rs
@@ -1,22 +1,26 @@
-//! The life of a request as types: only a state in which nothing can have run can say "not run".
+//! Models the life cycle of a request as typestate: only states in which nothing can have run allow the
+//! outcome "not run".
 //!
 //! ```compile_fail
-//! let sent = lifecycle::Request::<lifecycle::Received>::new(ids::Request::new()).admit().queue().send();
-//! sent.not_run(lifecycle::Reason::Full); // a sent request may have run
+//! use lifecycle::{Reason, Received, Request};
+//! let sent = Request::<Received>::new(ids::Request::new()).admit().queue().send();
+//! sent.not_run(Reason::Full); // a sent request may have run
 //! ```
 //!
-//! Waiting again after an attempt that may have run doesn't bring "not run" back:
+//! A request that is queued again after an attempt that may have run can't be called "not run" either:
 //!
 //! ```compile_fail
-//! let sent = lifecycle::Request::<lifecycle::Received>::new(ids::Request::new()).admit().queue().send();
-//! let again = sent.requeue(lifecycle::Repeatable::if_idempotent(true).unwrap());
-//! again.not_run(lifecycle::Reason::Full);
+//! use lifecycle::{Reason, Received, Repeatable, Request};
+//! let sent = Request::<Received>::new(ids::Request::new()).admit().queue().send();
+//! let requeued = sent.requeue(Repeatable::if_idempotent(true).unwrap());
+//! requeued.not_run(Reason::Full);
 //! ```
 //!
-//! Nor can a request be sent twice without a proof that it may:
+//! Nor can a request be sent twice without a proof that this is allowed:
 //!
 //! ```compile_fail
-//! let sent = lifecycle::Request::<lifecycle::Received>::new(ids::Request::new()).admit().queue().send();
+//! use lifecycle::{Received, Request};
+//! let sent = Request::<Received>::new(ids::Request::new()).admit().queue().send();
 //! sent.send();
 //! ```
 
@@ -27,44 +31,44 @@
 pub use attempts::{Sending, Waiting};
 
 derives::value! {
-    /// Accepted from the network, not yet judged.
+    /// Received from the network, not validated yet.
     pub struct Received;
-    /// Known caller, class and deadline.
+    /// Its caller, class and deadline are known.
     pub struct Admitted;
-    /// Waits for a place at a backend server.
+    /// Waits for a slot at a backend server.
     pub struct Queued;
-    /// A byte of it may have left for a backend server.
+    /// Some of its bytes may have been sent to a backend server.
     pub struct Sent;
-    /// Waits for a place again; an earlier attempt may have run.
+    /// Waits for a slot again; an earlier attempt may have run.
     pub struct Requeued;
-    /// A byte of a further attempt may have left; an earlier one may have run.
+    /// Some bytes of a further attempt may have been sent; an earlier attempt may have run.
     pub struct Resent;
-    /// The caller has been given the start of the answer.
+    /// The start of the answer was passed to the caller.
     pub struct Streaming;
-    /// The stream to the caller stands still; another backend server may go on with it.
+    /// The stream to the caller is interrupted; another backend server may resume it.
     pub struct Paused;
     /// Why a request wasn't run.
     pub enum Reason {
-        /// The caller, path or body isn't acceptable.
+        /// Its caller, path or body isn't accepted.
         Invalid,
-        /// No room in the queue.
+        /// The queue is full.
         Full,
-        /// It couldn't be served while of use.
+        /// It can't be served in time.
         Late,
-        /// No backend server may take it.
+        /// No backend server may serve it.
         NoServer,
         /// Servers crashed while they ran it.
         Quarantined,
-        /// The router is going down.
+        /// The router is shutting down.
         Draining,
-        /// The caller went away.
-        Gone,
+        /// The caller disconnected.
+        CallerGone,
     }
-    /// What a caller is told, once.
+    /// The result of a request, reported to the caller once.
     pub enum Outcome {
-        /// The whole answer was passed on.
+        /// The complete answer was passed on.
         Complete,
-        /// Nothing ran; it is safe to repeat.
+        /// Nothing ran; the request may be repeated safely.
         NotRun(Reason),
         /// It may have run.
         Unknown,
@@ -74,7 +78,7 @@
 }
 
 impl Outcome {
-    /// The word for the outcome in headers, logs and metrics.
+    /// Name of the outcome in headers, logs and metrics.
     ///
     /// ```
     /// assert_eq!(lifecycle::Outcome::Unknown.as_str(), "unknown");
@@ -89,7 +93,7 @@
     }
 }
 
-/// A request in one state of its life.
+/// A request in state `S` of its life cycle.
 #[derive(Debug)]
 pub struct Request<S> {
     id: ids::Request,
@@ -103,17 +107,17 @@
         self.id
     }
 
-    /// Number of the newest attempt, from 1; 0 before the first. It goes out with the attempt, so
-    /// that a late answer to an older one is known by it.
+    /// Number of the latest attempt, from 1; 0 before the first. It is sent with the attempt, so that a
+    /// late answer to an earlier attempt can be told from the answer to this one.
     pub fn attempt(&self) -> u32 {
         self.attempt
     }
 
-    fn become_state<T>(self) -> Request<T> {
+    fn into_state<T>(self) -> Request<T> {
         Request { id: self.id, attempt: self.attempt, state: PhantomData }
     }
 
-    fn next_attempt<T>(self) -> Request<T> {
+    fn into_next_attempt<T>(self) -> Request<T> {
         Request { id: self.id, attempt: self.attempt + 1, state: PhantomData }
     }
 }
@@ -124,9 +128,9 @@
         Request { id, attempt: 0, state: PhantomData }
     }
 
-    /// The caller is known and the request well formed.
+    /// The caller is known and the request is well formed.
     pub fn admit(self) -> Request<Admitted> {
-        self.become_state()
+        self.into_state()
     }
 
     /// Ends the request before anything ran.
@@ -136,9 +140,9 @@
 }
 
 impl Request<Admitted> {
-    /// The request waits for a place.
+    /// The request waits for a slot.
     pub fn queue(self) -> Request<Queued> {
-        self.become_state()
+        self.into_state()
     }
 
     /// Ends the request before anything ran.
@@ -148,9 +152,9 @@
 }
 
 impl Request<Queued> {
-    /// From here a byte may leave for a backend server.
+    /// Starts an attempt. Call it before the first byte is sent to a backend server.
     pub fn send(self) -> Request<Sent> {
-        self.next_attempt()
+        self.into_next_attempt()
     }
 
     /// Ends the request before anything ran.
@@ -160,12 +164,12 @@
 }
 
 impl Request<Requeued> {
-    /// From here a byte of another attempt may leave.
+    /// Starts another attempt. Call it before the first byte is sent to a backend server.
     pub fn send(self) -> Request<Resent> {
-        self.next_attempt()
+        self.into_next_attempt()
     }
 
-    /// No further attempt is made, and an earlier one may have run.
+    /// Ends the request without a further attempt; an earlier one may have run.
     pub fn unknown(self) -> Outcome {
         Outcome::Unknown
     }
@@ -186,40 +190,41 @@
     }
 }
 
-/// Proof that an attempt left nothing behind: the connection was never made, or the backend server
-/// itself answered that it ran nothing.
+/// Proof that an attempt ran nothing: no connection was made, or the backend server itself answered
+/// that it ran nothing.
 #[derive(Debug)]
 pub struct Unsent(());
 
 impl Unsent {
-    /// The caller of this function vouches that no byte left, or that the server said "not run".
+    /// Creates the proof. Its caller guarantees that no byte was sent, or that the server answered "not
+    /// run".
     pub fn vouch() -> Self {
         Unsent(())
     }
 }
 
 impl Request<Sent> {
-    /// The attempt provably ran nothing, so the request may wait again.
+    /// The attempt provably ran nothing, so the request waits again.
     pub fn return_to_queue(self, _: Unsent) -> Request<Queued> {
-        self.become_state()
+        self.into_state()
     }
 
-    /// The attempt may have run and is given up; another one may follow.
+    /// The attempt is abandoned and may have run; another one may follow.
     pub fn requeue(self, _: Repeatable) -> Request<Requeued> {
-        self.become_state()
+        self.into_state()
     }
 
-    /// The start of the answer goes to the caller.
+    /// The start of the answer is passed to the caller.
     pub fn stream(self) -> Request<Streaming> {
-        self.become_state()
+        self.into_state()
     }
 
-    /// The whole answer was passed on at once.
+    /// The complete answer was passed to the caller at once.
     pub fn complete(self) -> Outcome {
         Outcome::Complete
     }
 
-    /// No answer came, and it may have run.
+    /// Ends the request without an answer; it may have run.
     pub fn unknown(self) -> Outcome {
         Outcome::Unknown
     }
@@ -227,51 +232,51 @@
 
 impl Request<Resent> {
     /// The attempt failed; another one may follow. Even if this one ran nothing, an earlier one may
-    /// have.
+    /// have run.
     pub fn requeue(self, _: Repeatable) -> Request<Requeued> {
-        self.become_state()
+        self.into_state()
     }
 
-    /// No further attempt is made, and one of them may have run.
+    /// Ends the request without a further attempt; one of its attempts may have run.
     pub fn unknown(self) -> Outcome {
         Outcome::Unknown
     }
 
-    /// The start of the answer goes to the caller.
+    /// The start of the answer is passed to the caller.
     pub fn stream(self) -> Request<Streaming> {
-        self.become_state()
+        self.into_state()
     }
 
-    /// The whole answer was passed on at once.
+    /// The complete answer was passed to the caller at once.
     pub fn complete(self) -> Outcome {
         Outcome::Complete
     }
 }
 
 impl Request<Streaming> {
-    /// The whole answer was passed on.
+    /// The complete answer was passed on.
     pub fn complete(self) -> Outcome {
         Outcome::Complete
     }
 
-    /// The attempt is over and the answer isn't; another one may go on with it.
+    /// The attempt ended before the answer did; another attempt may resume the answer.
     pub fn pause(self, _: Repeatable) -> Request<Paused> {
-        self.become_state()
+        self.into_state()
     }
 
-    /// The answer ended early.
+    /// Ends the request after an answer that ended early.
     pub fn truncated(self) -> Outcome {
         Outcome::Truncated
     }
 }
 
 impl Request<Paused> {
-    /// Another attempt goes on where the last one stopped.
+    /// Another attempt resumes the answer where the last one stopped.
     pub fn resume(self) -> Request<Streaming> {
-        self.next_attempt()
+        self.into_next_attempt()
     }
 
-    /// Nobody goes on with the answer.
+    /// Ends the request after an answer that no attempt resumes.
     pub fn truncated(self) -> Outcome {
         Outcome::Truncated
     }
