--- a/components/http_client/src/body.rs
+++ b/components/http_client/src/body.rs
@@ -1,4 +1,4 @@
-//! The body of a response under way.
+//! Reads the body of a response, and hands its connection on after the end.
 
 use actix_codec::{Decoder, Framed, FramedParts};
 use actix_http::h1::{ClientCodec, ClientPayloadCodec, MessageType};
@@ -10,26 +10,28 @@
 
 use crate::{Connection, Error};
 
-/// Memory for reading a body. The library takes 8 KiB where less than 1 KiB is free, so what is read
-/// at once leaves that much over.
-const BUFFER: usize = 4 << 10;
-const READ: usize = 3 << 10;
+/// Size of the buffer for a body.
+const BUFFER_BYTES: usize = 4 << 10;
+/// Most that is read into the buffer at once. It leaves 1 KiB free: `actix-codec` grows a buffer that
+/// has less free to 8 KiB.
+const READ_BYTES: usize = 3 << 10;
 
-/// The body of a response under way. Dropping it before its end closes the connection.
+/// The body of a response that is being received. Dropping it before its end closes the connection.
 pub struct Body {
-    form: Form,
-    /// The request went out whole, so the connection may carry another one.
+    framing: Framing,
+    /// The request was sent whole, so the connection may carry another one.
     flushed: bool,
 }
 
-enum Form {
+/// How the end of a body is marked.
+enum Framing {
     /// Nothing follows the head.
     Empty(Framed<TcpStream, ClientCodec>),
-    /// The head says how long it is, or it comes in chunks.
-    Sized(Payload),
-    /// It lasts until the other side ends the connection in order. The library takes such a
-    /// response of HTTP/1.1 for one without a body.
-    Unsized(TcpStream, BytesMut),
+    /// The head states its length, or it is chunked.
+    Delimited(Payload),
+    /// It lasts until the other side closes the connection regularly. The codec of `actix-http` takes such
+    /// an HTTP/1.1 response for one without a body.
+    UntilClose(TcpStream, BytesMut),
 }
 
 impl Body {
@@ -38,30 +40,30 @@
         framed: Framed<TcpStream, ClientCodec>,
         flushed: bool,
     ) -> Self {
-        let form = match framed.codec_ref().message_type() {
-            MessageType::None if unmarked(head) => {
+        let framing = match framed.codec_ref().message_type() {
+            MessageType::None if ends_with_connection(head) => {
                 let FramedParts { io, read_buf, .. } = framed.into_parts();
-                Form::Unsized(io, read_buf)
+                Framing::UntilClose(io, read_buf)
             }
-            MessageType::None => Form::Empty(framed),
-            _ => Form::Sized(Payload::new(framed)),
+            MessageType::None => Framing::Empty(framed),
+            _ => Framing::Delimited(Payload::new(framed)),
         };
-        Body { form, flushed }
+        Body { framing, flushed }
     }
 
-    /// The next bytes; none only where the sender marked the end of the body. A body without a
-    /// length ends with its connection, unless that is reset.
+    /// The next bytes of the body; none once it is complete. A body without a length is complete when
+    /// its connection is closed, but not when it is reset.
     ///
     /// # Errors
-    /// When the body ends before its end, or isn't well formed.
+    /// When the body is cut short or malformed.
     pub async fn next(&mut self) -> Result<Option<Bytes>, Error> {
-        match &mut self.form {
-            Form::Empty(_) => Ok(None),
-            Form::Sized(payload) => payload.next().await,
-            Form::Unsized(io, buf) => {
+        match &mut self.framing {
+            Framing::Empty(_) => Ok(None),
+            Framing::Delimited(payload) => payload.next().await,
+            Framing::UntilClose(io, buf) => {
                 if buf.is_empty() {
-                    buf.reserve(BUFFER);
-                    if io.read_buf(&mut (&mut *buf).limit(READ)).await? == 0 {
+                    buf.reserve(BUFFER_BYTES);
+                    if io.read_buf(&mut (&mut *buf).limit(READ_BYTES)).await? == 0 {
                         return Ok(None);
                     }
                 }
@@ -70,51 +72,51 @@
         }
     }
 
-    /// The response that comes after this one on the same connection, which must have ended. Asked
-    /// for where this one answered an older request, whose answer was given up or sent twice.
+    /// Receives the next response on the same connection; the body of this one must have ended. Used
+    /// when this response belongs to an earlier request, whose answer was abandoned or sent twice.
     ///
     /// # Errors
-    /// When no further response comes.
+    /// When no further response arrives.
     pub async fn next_response(self) -> Result<(ResponseHead, Body), Error> {
-        let mut framed = match self.form {
-            Form::Empty(framed) => framed,
-            Form::Sized(Payload { io, codec, buf }) => {
+        let mut framed = match self.framing {
+            Framing::Empty(framed) => framed,
+            Framing::Delimited(Payload { io, codec, buf }) => {
                 let parts = FramedParts::with_read_buf(io, codec.into_message_codec(), buf);
                 Framed::from_parts(parts)
             }
-            Form::Unsized(..) => return Err(Error::Closed),
+            Framing::UntilClose(..) => return Err(Error::Closed),
         };
         let head = framed.next().await.ok_or(Error::Closed)??;
         let body = Body::new(&head, framed, self.flushed);
         Ok((head, body))
     }
 
-    /// The connection, once the body has ended and if both sides keep it. Bytes that came after the
-    /// end belong to no request, so the connection isn't used again.
-    pub(crate) fn link(self) -> Option<Connection> {
-        let (kept, rest, io) = match self.form {
-            Form::Empty(framed) => {
-                let kept = framed.codec_ref().keep_alive();
+    /// The connection, if both sides keep it open; the body must have ended. A connection on which bytes
+    /// arrived after the end isn't used again, since they belong to no request.
+    pub(crate) fn into_connection(self) -> Option<Connection> {
+        let (keep_alive, rest, io) = match self.framing {
+            Framing::Empty(framed) => {
+                let keep_alive = framed.codec_ref().keep_alive();
                 let FramedParts { io, read_buf, .. } = framed.into_parts();
-                (kept, read_buf, io)
+                (keep_alive, read_buf, io)
             }
-            Form::Sized(payload) => (payload.codec.keep_alive(), payload.buf, payload.io),
-            Form::Unsized(..) => return None,
+            Framing::Delimited(payload) => (payload.codec.keep_alive(), payload.buf, payload.io),
+            Framing::UntilClose(..) => return None,
         };
-        (kept && self.flushed && rest.is_empty()).then_some(Connection(io))
+        (keep_alive && self.flushed && rest.is_empty()).then_some(Connection(io))
     }
 }
 
-/// Whether a response has a body whose end nothing marks but the end of the connection.
-fn unmarked(head: &ResponseHead) -> bool {
+/// Whether only the end of the connection marks the end of the response's body.
+fn ends_with_connection(head: &ResponseHead) -> bool {
     let bodiless = head.status.is_informational()
         || [StatusCode::NO_CONTENT, StatusCode::NOT_MODIFIED].contains(&head.status);
-    let marked = [header::CONTENT_LENGTH, header::TRANSFER_ENCODING];
-    let marked = marked.iter().any(|name| head.headers.contains_key(name));
-    head.version >= Version::HTTP_10 && !bodiless && !marked
+    let delimiters = [header::CONTENT_LENGTH, header::TRANSFER_ENCODING];
+    let delimited = delimiters.iter().any(|name| head.headers.contains_key(name));
+    head.version >= Version::HTTP_10 && !bodiless && !delimited
 }
 
-/// Bytes of a body and their source, with little memory of its own: it is open for minutes.
+/// A body whose end is marked. Its buffer is small, since answers stay open for minutes.
 struct Payload {
     io: TcpStream,
     codec: ClientPayloadCodec,
@@ -124,7 +126,7 @@
 impl Payload {
     fn new(framed: Framed<TcpStream, ClientCodec>) -> Self {
         let parts = framed.into_map_codec(ClientCodec::into_payload_codec).into_parts();
-        let mut buf = BytesMut::with_capacity(BUFFER.max(parts.read_buf.len()));
+        let mut buf = BytesMut::with_capacity(BUFFER_BYTES.max(parts.read_buf.len()));
         buf.extend_from_slice(&parts.read_buf);
         Payload { io: parts.io, codec: parts.codec, buf }
     }
@@ -134,9 +136,9 @@
             if let Some(bytes) = self.codec.decode(&mut self.buf)? {
                 return Ok(bytes);
             }
-            // Uses the same memory again once what was in it has been passed on.
-            self.buf.reserve(BUFFER - self.buf.len().min(READ));
-            if self.io.read_buf(&mut (&mut self.buf).limit(READ)).await? == 0 {
+            // Reuses the memory of the buffer once the bytes before were passed on.
+            self.buf.reserve(BUFFER_BYTES - self.buf.len().min(READ_BYTES));
+            if self.io.read_buf(&mut (&mut self.buf).limit(READ_BYTES)).await? == 0 {
                 return Err(Error::Closed);
             }
         }
--- a/components/http_client/src/lib.rs
+++ b/components/http_client/src/lib.rs
@@ -1,10 +1,10 @@
-//! One HTTP/1.1 connection to a backend server, over the library's codec.
+//! Sends HTTP/1.1 requests to backend servers over pooled connections, with the codec of `actix-http`.
 //!
-//! The library's own client isn't used for calls, since it tells too little of how they fail: a
-//! connection that ends after the request was sent is reported like one that was never made, and
-//! a chunked body that is cut between two chunks like one that ended. The first would let us say
-//! "not run" of what ran, the second pass on a part as the whole. Here connecting, sending and the
-//! end of the body are steps of their own.
+//! Calls don't use the client of that library, `awc`, since it reports too little about failures: it
+//! reports a connection that ends after the request was sent like one that was never made, and a chunked
+//! body that is cut between two chunks like a complete one. The first would let a request that ran be
+//! reported as "not run", the second would pass a part of an answer on as the whole. Here, connecting,
+//! sending and the end of the body are separate steps.
 
 mod body;
 mod pool;
@@ -25,89 +25,89 @@
 pub use body::Body;
 pub use pool::{Pool, PoolLimits};
 
-/// What the codec takes for encoding.
+/// Messages that the codec encodes.
 type Outgoing = Message<(RequestHeadType, BodySize)>;
 
-/// Bytes sent that the other side doesn't acknowledge for this long end the connection. A
-/// connection whose way was cut silently would otherwise hang until its caller gives up; a lost
-/// packet is sent again several times within it.
-const UNACKNOWLEDGED: Duration = Duration::from_millis(2_500);
+/// Time after which a connection is closed if the other side doesn't acknowledge sent bytes. Otherwise, a
+/// connection whose network path fails silently would hang until its caller gives up. A lost packet is
+/// retransmitted several times within this time.
+const ACK_TIMEOUT: Duration = Duration::from_millis(2_500);
 
-/// Why a connection gave no response or no whole body.
+/// Why a request got no response or an incomplete body.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// The request didn't go out whole.
+    /// The request couldn't be sent whole, or the connection failed while its body was read.
     #[error("sending failed: {0}")]
     Send(#[from] io::Error),
-    /// The head isn't HTTP.
+    /// The head of the response is malformed.
     #[error("the response can't be read: {0}")]
     Response(#[from] ParseError),
-    /// The body isn't well formed.
+    /// The body of the response is malformed.
     #[error("the body can't be read: {0}")]
     Body(#[from] PayloadError),
-    /// The other side ended the connection.
+    /// The other side closed the connection before the end of the response.
     #[error("the connection ended early")]
     Closed,
 }
 
-/// A connection that carries no request now.
+/// A connection to a server that carries no request at the moment.
 #[derive(Debug)]
 pub struct Connection(TcpStream);
 
 impl Connection {
-    /// Connects to `address` (IP and port) within a time. Until this returns nothing was sent.
+    /// Connects to `address` (IP address and port) within `timeout`. Sends no bytes of a request.
     ///
     /// ```
     /// # tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap().block_on(async {
-    /// let within = std::time::Duration::from_secs(1);
-    /// assert!(http_client::Connection::connect("nobody", within).await.is_err());
+    /// let timeout = std::time::Duration::from_secs(1);
+    /// assert!(http_client::Connection::connect("nobody", timeout).await.is_err());
     /// # });
     /// ```
     ///
     /// # Errors
-    /// When no connection was made.
-    pub async fn connect(address: &str, within: Duration) -> io::Result<Self> {
-        let stream = tokio::time::timeout(within, TcpStream::connect(address)).await??;
+    /// When the connection fails or takes longer.
+    pub async fn connect(address: &str, timeout: Duration) -> io::Result<Self> {
+        let stream = tokio::time::timeout(timeout, TcpStream::connect(address)).await??;
         stream.set_nodelay(true)?;
-        let limit = UNACKNOWLEDGED.as_millis() as u32;
-        rustix::net::sockopt::set_tcp_user_timeout(&stream, limit)?;
+        let timeout_ms = ACK_TIMEOUT.as_millis() as u32;
+        rustix::net::sockopt::set_tcp_user_timeout(&stream, timeout_ms)?;
         Ok(Connection(stream))
     }
 
-    /// Whether nothing came since the last response: an end, an error or stray bytes would.
+    /// Whether the connection is open and nothing arrived since the last response.
     fn is_idle(&self) -> bool {
         let read = self.0.try_read(&mut [0]);
         read.is_err_and(|cause| cause.kind() == io::ErrorKind::WouldBlock)
     }
 
-    /// Sends a request and reads the head of its response. A response that comes before all of the
-    /// request was taken is read all the same; what is left of the request isn't sent then, and the
-    /// connection carries nothing after it, since the other side still waits for that rest.
+    /// Sends a request and receives the head of its response. If the response arrives before the whole
+    /// request was sent, the rest isn't sent. Such a connection isn't used again, since the other side
+    /// still expects the rest.
     ///
     /// # Errors
-    /// Whatever the error, the request may have been received and run.
+    /// When no valid head arrives. The request may have been received and run nevertheless.
     pub async fn exchange(
         self,
         head: RequestHead,
         body: Bytes,
     ) -> Result<(ResponseHead, Body), Error> {
         let mut framed = Framed::new(self.0, ClientCodec::default());
-        let bare = body.is_empty() && [Method::GET, Method::HEAD].contains(&head.method);
-        let length = if bare { BodySize::None } else { BodySize::Sized(body.len() as u64) };
+        let no_body = body.is_empty() && [Method::GET, Method::HEAD].contains(&head.method);
+        let length = if no_body { BodySize::None } else { BodySize::Sized(body.len() as u64) };
         let item: Outgoing = Message::Item((RequestHeadType::from(head), length));
         Pin::new(&mut framed).write(item)?;
         if !body.is_empty() {
             let chunk: Outgoing = Message::Chunk(Some(body));
             Pin::new(&mut framed).write(chunk)?;
         }
-        let (mut flushed, mut failed) = (false, None);
+        let (mut flushed, mut send_error) = (false, None);
         let head = poll_fn(|cx| {
             let mut framed = Pin::new(&mut framed);
-            if !flushed && failed.is_none() {
+            if !flushed && send_error.is_none() {
                 match framed.as_mut().flush::<Outgoing>(cx) {
                     std::task::Poll::Ready(Ok(())) => flushed = true,
-                    // The other side may have answered before it stopped reading.
-                    std::task::Poll::Ready(Err(cause)) => failed = Some(cause),
+                    // The other side may have responded before it stopped reading.
+                    std::task::Poll::Ready(Err(cause)) => send_error = Some(cause),
                     std::task::Poll::Pending => {}
                 }
             }
@@ -115,15 +115,15 @@
         });
         let head = match head.await {
             Some(Ok(head)) => head,
-            Some(Err(cause)) => return Err(failed.map_or(cause.into(), Error::Send)),
-            None => return Err(failed.map_or(Error::Closed, Error::Send)),
+            Some(Err(cause)) => return Err(send_error.map_or(cause.into(), Error::Send)),
+            None => return Err(send_error.map_or(Error::Closed, Error::Send)),
         };
         let body = Body::new(&head, framed, flushed);
         Ok((head, body))
     }
 }
 
-/// The type of connection that a request asks for.
+/// The connection type for the head of a request: `close` if the connection won't be used again.
 pub fn connection_type(close: bool) -> ConnectionType {
     if close { ConnectionType::Close } else { ConnectionType::KeepAlive }
 }
--- a/components/http_client/src/pool.rs
+++ b/components/http_client/src/pool.rs
@@ -1,4 +1,4 @@
-//! Connections kept for further requests.
+//! Keeps idle connections for further requests.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -9,79 +9,80 @@
 
 use crate::{Body, Connection};
 
-/// How often connections past their time are looked for. Those of a server that is gone are closed by
-/// nothing else.
-const SWEEP: Duration = Duration::from_secs(1);
+/// Time between two removals of expired connections. Nothing else closes the connections to a server that
+/// no longer gets requests.
+const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
 
 /// How many connections are kept, and for how long.
 #[derive(Clone, Copy, Debug)]
 pub struct PoolLimits {
-    /// Idle connections to one server; a burst above it connects anew.
+    /// Idle connections that are kept to one server; a larger burst of requests opens new ones.
     pub max_idle: usize,
-    /// A connection idle for longer isn't used again, unless its server said another time: one
-    /// that the server is about to close loses what is sent into it.
+    /// Time after which an idle connection isn't used again, unless its server states another time. A
+    /// request that is sent while the server closes the connection is lost.
     pub idle_timeout: Duration,
 }
 
 impl Default for PoolLimits {
-    /// Servers commonly close idle connections after 5 s.
+    /// The idle timeout is below 5 s, after which servers commonly close idle connections.
     fn default() -> Self {
         PoolLimits { max_idle: 32, idle_timeout: Duration::from_secs(4) }
     }
 }
 
-/// A connection, and until when it may be used.
+/// A connection, and when it expires.
 type Idle = (Connection, Instant);
 
-/// Connections kept for further requests, by address.
+/// Idle connections for further requests, by address.
 #[derive(Clone, Default)]
 pub struct Pool {
-    kept: PoolLimits,
+    limits: PoolLimits,
     idle: Rc<RefCell<HashMap<String, Vec<Idle>>>>,
-    swept: Rc<Cell<Option<Instant>>>,
+    last_sweep: Rc<Cell<Option<Instant>>>,
 }
 
 impl Pool {
-    /// A pool that keeps connections within limits.
+    /// An empty pool with these limits.
     ///
     /// ```
     /// let pool = http_client::Pool::new(http_client::PoolLimits::default());
     /// assert!(pool.take("10.0.0.1:80").is_none());
     /// ```
-    pub fn new(kept: PoolLimits) -> Self {
-        Pool { kept, ..Pool::default() }
+    pub fn new(limits: PoolLimits) -> Self {
+        Pool { limits, ..Pool::default() }
     }
 
-    /// The connection to `address` that was used last, if there is one on which nothing came since.
+    /// Takes the most recently used connection to `address` out of the pool; none if all of them expired, were
+    /// closed or received something since.
     pub fn take(&self, address: &str) -> Option<Connection> {
         let mut all = self.idle.borrow_mut();
         let idle = all.get_mut(address)?;
         let now = Instant::now();
-        idle.retain(|(link, until)| now < *until && link.is_idle());
-        idle.pop().map(|(link, _)| link)
+        idle.retain(|(connection, expires)| now < *expires && connection.is_idle());
+        idle.pop().map(|(connection, _)| connection)
     }
 
-    /// Keeps the connection of a body that has ended, for `idle` if the server said how long.
-    pub fn put(&self, address: &str, body: Body, idle: Option<Duration>) {
+    /// Keeps the connection of a body that has ended, for `idle_timeout` if its server stated one.
+    pub fn put(&self, address: &str, body: Body, idle_timeout: Option<Duration>) {
         let now = Instant::now();
-        self.sweep(now);
-        let Some(link) = body.link() else { return };
-        let until = now + idle.unwrap_or(self.kept.idle_timeout);
+        self.close_expired(now);
+        let Some(connection) = body.into_connection() else { return };
+        let expires = now + idle_timeout.unwrap_or(self.limits.idle_timeout);
         let mut all = self.idle.borrow_mut();
         let kept = all.entry(address.to_string()).or_default();
-        if kept.len() < self.kept.max_idle {
-            kept.push((link, until));
+        if kept.len() < self.limits.max_idle {
+            kept.push((connection, expires));
         }
     }
 
-    /// Closes the connections past their time, if it is time to look for them.
-    fn sweep(&self, now: Instant) {
-        if self.swept.get().is_some_and(|swept| now < swept + SWEEP) {
+    /// Closes expired connections, at most once per [`SWEEP_INTERVAL`].
+    fn close_expired(&self, now: Instant) {
+        if self.last_sweep.get().is_some_and(|last| now < last + SWEEP_INTERVAL) {
             return;
         }
-        self.swept.set(Some(now));
+        self.last_sweep.set(Some(now));
         self.idle.borrow_mut().retain(|_, kept| {
-            kept.retain(|(_, until)| now < *until);
+            kept.retain(|(_, expires)| now < *expires);
             !kept.is_empty()
         });
     }
--- a/components/http_client/tests/pool.rs
+++ b/components/http_client/tests/pool.rs
@@ -1,4 +1,4 @@
-//! Connections kept for further requests.
+//! Tests that pooled connections are closed once they expire.
 
 use std::time::Duration;
 
@@ -10,38 +10,38 @@
 
 const IDLE: Duration = Duration::from_millis(800);
 
-/// One exchange with a server that keeps its connection; returns the server's end of it.
-async fn exchange(pool: &Pool) -> TcpStream {
+/// Sends a request to a new server that keeps its connection open; returns the server's end of it.
+async fn exchange_with_new_server(pool: &Pool) -> TcpStream {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap().to_string();
-    let link = Connection::connect(&address, Duration::from_secs(5)).await.unwrap();
+    let connection = Connection::connect(&address, Duration::from_secs(5)).await.unwrap();
     let (mut server, _) = listener.accept().await.unwrap();
     server.write_all(b"HTTP/1.1 200 OK\r\ncontent-length: 0\r\n\r\n").await.unwrap();
     let mut head = RequestHead::default();
     head.set_connection_type(ConnectionType::KeepAlive);
-    let (_, mut body) = link.exchange(head, Bytes::new()).await.unwrap();
+    let (_, mut body) = connection.exchange(head, Bytes::new()).await.unwrap();
     assert!(body.next().await.unwrap().is_none());
     pool.put(&address, body, None);
     server
 }
 
-/// Whether the router closed its end, once the request it sent is read past.
-async fn closed(server: &mut TcpStream) -> bool {
+/// Whether the pool closed its end of the connection within 300 ms, after the request is read.
+async fn is_closed(server: &mut TcpStream) -> bool {
     let read = async { while server.read(&mut [0; 1_024]).await.unwrap() > 0 {} };
     tokio::time::timeout(Duration::from_millis(300), read).await.is_ok()
 }
 
-/// Servers are replaced for weeks, each under an address of its own, and nothing is sent to the old
-/// ones again. Their connections would stay open until the process ends or has no descriptors left, and
-/// a server that waits for them to close would wait for good.
+/// Guards against connections that stay open to servers that no longer get requests. Servers are replaced
+/// for weeks, each by one with another address. The connections to the old ones would use up the file
+/// descriptors of the process, and a server that waits for them to close before it stops would never stop.
 #[actix_rt::test]
 async fn connections_that_are_not_used_again_are_closed() {
     tokio::time::pause();
     let pool = Pool::new(PoolLimits { max_idle: 2, idle_timeout: IDLE });
-    let mut first = exchange(&pool).await;
-    assert!(!closed(&mut first).await, "it is closed before its time");
+    let mut first = exchange_with_new_server(&pool).await;
+    assert!(!is_closed(&mut first).await, "the connection is closed before it expires");
     tokio::time::sleep(IDLE).await;
-    let mut second = exchange(&pool).await;
-    assert!(closed(&mut first).await, "a connection past its time is kept");
-    assert!(!closed(&mut second).await);
+    let mut second = exchange_with_new_server(&pool).await;
+    assert!(is_closed(&mut first).await, "the expired connection stays open");
+    assert!(!is_closed(&mut second).await);
 }
