--- a/components/clock/src/lib.rs
+++ b/components/clock/src/lib.rs
@@ -1,41 +1,47 @@
-//! The clock as an interface, so that tests choose the time.
+//! Abstracts over the clock, so that tests control the time.
 
 use std::cell::{Cell, OnceCell};
 use std::rc::Rc;
 use std::time::{Duration, Instant, SystemTime};
 
-/// Source of monotonic time and of the time of day.
+/// A source of monotonic time and of the time of day.
 pub trait Clock {
     /// Monotonic time.
     fn now(&self) -> Instant;
     /// Time of day.
     fn wall(&self) -> SystemTime;
-    /// Time since some fixed point, which also counts while the VM is suspended; monotonic time
-    /// stands still then, and a process that wakes believes that none has passed.
+    /// Time since a fixed point, including the time while the VM is suspended. Monotonic time stands still
+    /// during a suspension, so a process that resumes can't tell by it that time has passed.
     fn boot_time(&self) -> Duration;
 }
 
 thread_local! {
-    static FIRST: OnceCell<(Instant, SystemTime)> = const { OnceCell::new() };
+    /// Both times when the first clock of the thread was created.
+    static FIRST_READING: OnceCell<(Instant, SystemTime)> = const { OnceCell::new() };
 }
 
-/// The runtime's clock: real, and virtual in tests that pause the runtime's time.
+/// The clock of the Tokio runtime: real, or virtual in tests that pause the runtime's time.
 #[derive(Clone, Copy, Debug)]
 pub struct Runtime {
     start: Instant,
-    wall: SystemTime,
-    boot: Duration,
+    start_wall: SystemTime,
+    start_boot_time: Duration,
 }
 
 impl Runtime {
-    /// Starts the clock; the time of day is read once and carried on by the monotonic clock. The
-    /// clocks of one thread agree, also where its time is virtual and ahead of the time of day.
+    /// Creates a clock. It reads the time of day once and derives later ones from monotonic time. All clocks
+    /// of a thread agree, even if its time is virtual and ahead of the real time of day.
     #[allow(clippy::new_without_default)]
     pub fn new() -> Self {
         let start = tokio::time::Instant::now().into_std();
-        let (first, wall) = FIRST.with(|first| *first.get_or_init(|| (start, SystemTime::now())));
-        let carried = wall + start.saturating_duration_since(first);
-        Runtime { start, wall: carried.max(SystemTime::now()), boot: boot() }
+        let (first, wall) =
+            FIRST_READING.with(|first| *first.get_or_init(|| (start, SystemTime::now())));
+        let derived = wall + start.saturating_duration_since(first);
+        Runtime {
+            start,
+            start_wall: derived.max(SystemTime::now()),
+            start_boot_time: system_boot_time(),
+        }
     }
 }
 
@@ -45,23 +51,24 @@
     }
 
     fn wall(&self) -> SystemTime {
-        self.wall + (self.now() - self.start)
+        self.start_wall + (self.now() - self.start)
     }
 
-    /// Virtual time may run ahead of the system's.
+    /// Advances by the larger of the runtime's and the system's elapsed time, since virtual time may run ahead
+    /// of the system's.
     fn boot_time(&self) -> Duration {
-        let own = self.now() - self.start;
-        self.boot + own.max(boot().saturating_sub(self.boot))
+        let elapsed = self.now() - self.start;
+        self.start_boot_time + elapsed.max(system_boot_time().saturating_sub(self.start_boot_time))
     }
 }
 
-/// The system's clock that counts suspension.
-fn boot() -> Duration {
+/// The system's time since boot, including suspension.
+fn system_boot_time() -> Duration {
     let time = rustix::time::clock_gettime(rustix::time::ClockId::Boottime);
     Duration::new(time.tv_sec.unsigned_abs(), time.tv_nsec as u32)
 }
 
-/// A clock that moves only when told to.
+/// A clock for tests that advances only on request.
 ///
 /// ```
 /// use clock::Clock;
@@ -73,32 +80,32 @@
 #[derive(Clone, Debug)]
 pub struct Manual {
     start: Instant,
-    gone: Rc<Cell<Duration>>,
+    elapsed: Rc<Cell<Duration>>,
 }
 
 impl Manual {
-    /// A clock that stands at the start.
+    /// A clock at its starting time.
     #[allow(clippy::new_without_default)]
     pub fn new() -> Self {
-        Manual { start: Instant::now(), gone: Rc::default() }
+        Manual { start: Instant::now(), elapsed: Rc::default() }
     }
 
-    /// Moves the clock forward.
+    /// Advances the clock.
     pub fn advance(&self, by: Duration) {
-        self.gone.set(self.gone.get() + by);
+        self.elapsed.set(self.elapsed.get() + by);
     }
 }
 
 impl Clock for Manual {
     fn now(&self) -> Instant {
-        self.start + self.gone.get()
+        self.start + self.elapsed.get()
     }
 
     fn wall(&self) -> SystemTime {
-        SystemTime::UNIX_EPOCH + Duration::from_secs(1_800_000_000) + self.gone.get()
+        SystemTime::UNIX_EPOCH + Duration::from_secs(1_800_000_000) + self.elapsed.get()
     }
 
     fn boot_time(&self) -> Duration {
-        self.gone.get()
+        self.elapsed.get()
     }
 }
--- a/components/derives/src/lib.rs
+++ b/components/derives/src/lib.rs
@@ -1,6 +1,6 @@
-//! Common sets of derives, so that each kind of type carries the same ones everywhere.
+//! Macros that apply common sets of derives, so that all types of a kind have the same ones.
 
-/// Derives for plain data: `Clone`, `Debug`, `PartialEq`.
+/// Derives for plain data: `Clone`, `Debug` and `PartialEq`.
 ///
 /// ```
 /// derives::data! {
@@ -16,7 +16,8 @@
     ($($item:item)*) => { $( #[derive(Clone, Debug, PartialEq)] $item )* };
 }
 
-/// Derives for small values used as keys: those of data, and `Copy`, `Eq`, `Hash`, `Ord`.
+/// Derives for small values that are used as keys: those of [`data!`], and `Copy`, `Eq`, `Hash`,
+/// `PartialOrd` and `Ord`.
 ///
 /// ```
 /// derives::value! {
@@ -31,16 +32,16 @@
     };
 }
 
-/// An enum of plain names, each with the word for it in settings and logs: derives of [`value!`], a
-/// constant `ALL`, `as_str` and `FromStr`, whose error is the list of all words.
+/// Defines an enum whose variants have names in settings and logs: the derives of [`value!`], a constant
+/// `ALL`, `as_str` and `FromStr`, whose error is the list of all names.
 ///
 /// ```
 /// derives::named! {
 ///     /// A colour.
 ///     pub enum Colour {
-///         /// As grass.
+///         /// The colour of grass.
 ///         Green = "green",
-///         /// As the sky.
+///         /// The colour of the sky.
 ///         Blue = "blue",
 ///     }
 /// }
@@ -51,7 +52,7 @@
 macro_rules! named {
     (
         $(#[$meta:meta])*
-        $vis:vis enum $name:ident { $( $(#[$doc:meta])* $variant:ident = $word:literal, )* }
+        $vis:vis enum $name:ident { $( $(#[$doc:meta])* $variant:ident = $text:literal, )* }
     ) => {
         $crate::value! {
             $(#[$meta])*
@@ -59,22 +60,22 @@
         }
 
         impl $name {
-            /// All of them.
+            /// All variants.
             $vis const ALL: &[$name] = &[$( $name::$variant, )*];
 
-            /// The word for it in settings and logs.
+            /// Its name in settings and logs.
             $vis fn as_str(self) -> &'static str {
-                match self { $( $name::$variant => $word, )* }
+                match self { $( $name::$variant => $text, )* }
             }
         }
 
         impl std::str::FromStr for $name {
             type Err = String;
 
-            fn from_str(word: &str) -> Result<Self, String> {
+            fn from_str(text: &str) -> Result<Self, String> {
                 let all = $name::ALL.iter();
-                let found = all.copied().find(|known| known.as_str() == word);
-                found.ok_or_else(|| [$( $word, )*].join(", "))
+                let found = all.copied().find(|variant| variant.as_str() == text);
+                found.ok_or_else(|| [$( $text, )*].join(", "))
             }
         }
     };
--- a/components/ids/src/lib.rs
+++ b/components/ids/src/lib.rs
@@ -1,4 +1,4 @@
-//! Typed keys into arenas, and the identifiers that cross the network.
+//! Defines typed slot map keys, and the request identifiers that are sent over the network.
 
 mod request;
 
@@ -17,6 +17,6 @@
     pub struct Region;
     /// A failure domain.
     pub struct Domain;
-    /// A request that a router holds, from admission to its end.
+    /// A request that the scheduler owns, from its submission to its end.
     pub struct Job;
 }
--- a/components/ids/src/request.rs
+++ b/components/ids/src/request.rs
@@ -1,11 +1,13 @@
+//! Defines the identifier that a request carries over the network.
+
 use std::fmt;
 use std::time::{Duration, SystemTime};
 
-/// Identifier of a request, unique over all routers; a UUID version 7, so it carries its issue time.
+/// Identifier of a request, unique over all routers: a UUID version 7, which holds its time of issue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Request(uuid::Uuid);
 
-/// A text that isn't a request identifier.
+/// The text isn't a request identifier.
 #[derive(Debug, thiserror::Error)]
 #[error("`{text}` is not a request id; send a UUID such as 0190163d-8694-739b-aea5-966c26f8ad91")]
 pub struct ParseError {
@@ -13,7 +15,7 @@
 }
 
 impl Request {
-    /// Makes a new identifier from the time of day and randomness.
+    /// Creates a new identifier from the time of day and random bits.
     ///
     /// ```
     /// assert_ne!(ids::Request::new(), ids::Request::new());
@@ -23,7 +25,7 @@
         Request(uuid::Uuid::now_v7())
     }
 
-    /// Makes an identifier from 16 bytes; used where randomness is seeded.
+    /// Creates an identifier from the 16 bytes of its UUID, for callers that use a seeded random generator.
     ///
     /// ```
     /// assert_eq!(ids::Request::from_bytes([0; 16]).to_string().len(), 36);
@@ -32,7 +34,7 @@
         Request(uuid::Uuid::from_bytes(bytes))
     }
 
-    /// Reads an identifier from its text form.
+    /// Parses the text form of an identifier.
     ///
     /// ```
     /// let id = ids::Request::new();
@@ -43,7 +45,7 @@
         uuid::Uuid::parse_str(text).map(Request).map_err(|_| ParseError { text: text.to_string() })
     }
 
-    /// Time of issue that the identifier carries, to a millisecond; none unless it is version 7.
+    /// Time of issue, to the millisecond; none if the UUID has no timestamp.
     ///
     /// ```
     /// assert!(ids::Request::new().issued().is_some());
