--- /dev/null
+++ b/components/http_client/src/body.rs
@@ -0,0 +1,146 @@
+//! Reads the body of a response, and hands its connection on after the end.
+
+use actix_codec::{Decoder, Framed, FramedParts};
+use actix_http::h1::{ClientCodec, ClientPayloadCodec, MessageType};
+use actix_http::{ResponseHead, StatusCode, Version, header};
+use bytes::{BufMut, Bytes, BytesMut};
+use futures_util::StreamExt;
+use tokio::io::AsyncReadExt;
+use tokio::net::TcpStream;
+
+use crate::{Connection, Error};
+
+/// Size of the buffer for a body.
+const BUFFER_BYTES: usize = 4 << 10;
+/// Most that is read into the buffer at once. It leaves 1 KiB free: `actix-codec` grows a buffer that
+/// has less free to 8 KiB.
+const READ_BYTES: usize = 3 << 10;
+
+/// The body of a response that is being received. Dropping it before its end closes the connection.
+pub struct Body {
+    framing: Framing,
+    /// The request was sent whole, so the connection may carry another one.
+    flushed: bool,
+}
+
+/// How the end of a body is marked.
+enum Framing {
+    /// Nothing follows the head.
+    Empty(Framed<TcpStream, ClientCodec>),
+    /// The head states its length, or it is chunked.
+    Delimited(Payload),
+    /// It lasts until the other side closes the connection regularly. The codec of `actix-http` takes such
+    /// an HTTP/1.1 response for one without a body.
+    UntilClose(TcpStream, BytesMut),
+}
+
+impl Body {
+    pub(crate) fn new(
+        head: &ResponseHead,
+        framed: Framed<TcpStream, ClientCodec>,
+        flushed: bool,
+    ) -> Self {
+        let framing = match framed.codec_ref().message_type() {
+            MessageType::None if ends_with_connection(head) => {
+                let FramedParts { io, read_buf, .. } = framed.into_parts();
+                Framing::UntilClose(io, read_buf)
+            }
+            MessageType::None => Framing::Empty(framed),
+            _ => Framing::Delimited(Payload::new(framed)),
+        };
+        Body { framing, flushed }
+    }
+
+    /// The next bytes of the body; none once it is complete. A body without a length is complete when
+    /// its connection is closed, but not when it is reset.
+    ///
+    /// # Errors
+    /// When the body is cut short or malformed.
+    pub async fn next(&mut self) -> Result<Option<Bytes>, Error> {
+        match &mut self.framing {
+            Framing::Empty(_) => Ok(None),
+            Framing::Delimited(payload) => payload.next().await,
+            Framing::UntilClose(io, buf) => {
+                if buf.is_empty() {
+                    buf.reserve(BUFFER_BYTES);
+                    if io.read_buf(&mut (&mut *buf).limit(READ_BYTES)).await? == 0 {
+                        return Ok(None);
+                    }
+                }
+                Ok(Some(buf.split().freeze()))
+            }
+        }
+    }
+
+    /// Receives the next response on the same connection; the body of this one must have ended. Used
+    /// when this response belongs to an earlier request, whose answer was abandoned or sent twice.
+    ///
+    /// # Errors
+    /// When no further response arrives.
+    pub async fn next_response(self) -> Result<(ResponseHead, Body), Error> {
+        let mut framed = match self.framing {
+            Framing::Empty(framed) => framed,
+            Framing::Delimited(Payload { io, codec, buf }) => {
+                let parts = FramedParts::with_read_buf(io, codec.into_message_codec(), buf);
+                Framed::from_parts(parts)
+            }
+            Framing::UntilClose(..) => return Err(Error::Closed),
+        };
+        let head = framed.next().await.ok_or(Error::Closed)??;
+        let body = Body::new(&head, framed, self.flushed);
+        Ok((head, body))
+    }
+
+    /// The connection, if both sides keep it open; the body must have ended. A connection on which bytes
+    /// arrived after the end isn't used again, since they belong to no request.
+    pub(crate) fn into_connection(self) -> Option<Connection> {
+        let (keep_alive, rest, io) = match self.framing {
+            Framing::Empty(framed) => {
+                let keep_alive = framed.codec_ref().keep_alive();
+                let FramedParts { io, read_buf, .. } = framed.into_parts();
+                (keep_alive, read_buf, io)
+            }
+            Framing::Delimited(payload) => (payload.codec.keep_alive(), payload.buf, payload.io),
+            Framing::UntilClose(..) => return None,
+        };
+        (keep_alive && self.flushed && rest.is_empty()).then_some(Connection(io))
+    }
+}
+
+/// Whether only the end of the connection marks the end of the response's body.
+fn ends_with_connection(head: &ResponseHead) -> bool {
+    let bodiless = head.status.is_informational()
+        || [StatusCode::NO_CONTENT, StatusCode::NOT_MODIFIED].contains(&head.status);
+    let delimiters = [header::CONTENT_LENGTH, header::TRANSFER_ENCODING];
+    let delimited = delimiters.iter().any(|name| head.headers.contains_key(name));
+    head.version >= Version::HTTP_10 && !bodiless && !delimited
+}
+
+/// A body whose end is marked. Its buffer is small, since answers stay open for minutes.
+struct Payload {
+    io: TcpStream,
+    codec: ClientPayloadCodec,
+    buf: BytesMut,
+}
+
+impl Payload {
+    fn new(framed: Framed<TcpStream, ClientCodec>) -> Self {
+        let parts = framed.into_map_codec(ClientCodec::into_payload_codec).into_parts();
+        let mut buf = BytesMut::with_capacity(BUFFER_BYTES.max(parts.read_buf.len()));
+        buf.extend_from_slice(&parts.read_buf);
+        Payload { io: parts.io, codec: parts.codec, buf }
+    }
+
+    async fn next(&mut self) -> Result<Option<Bytes>, Error> {
+        loop {
+            if let Some(bytes) = self.codec.decode(&mut self.buf)? {
+                return Ok(bytes);
+            }
+            // Reuses the memory of the buffer once the bytes before were passed on.
+            self.buf.reserve(BUFFER_BYTES - self.buf.len().min(READ_BYTES));
+            if self.io.read_buf(&mut (&mut self.buf).limit(READ_BYTES)).await? == 0 {
+                return Err(Error::Closed);
+            }
+        }
+    }
+}
--- /dev/null
+++ b/components/http_client/src/lib.rs
@@ -0,0 +1,129 @@
+//! Sends HTTP/1.1 requests to backend servers over pooled connections, with the codec of `actix-http`.
+//!
+//! Calls don't use the client of that library, `awc`, since it reports too little about failures: it
+//! reports a connection that ends after the request was sent like one that was never made, and a chunked
+//! body that is cut between two chunks like a complete one. The first would let a request that ran be
+//! reported as "not run", the second would pass a part of an answer on as the whole. Here, connecting,
+//! sending and the end of the body are separate steps.
+
+mod body;
+mod pool;
+
+use std::future::poll_fn;
+use std::io;
+use std::pin::Pin;
+use std::time::Duration;
+
+use actix_codec::Framed;
+use actix_http::body::BodySize;
+use actix_http::error::{ParseError, PayloadError};
+use actix_http::h1::{ClientCodec, Message};
+use actix_http::{ConnectionType, Method, RequestHead, RequestHeadType, ResponseHead};
+use bytes::Bytes;
+use tokio::net::TcpStream;
+
+pub use body::Body;
+pub use pool::{Pool, PoolLimits};
+
+/// Messages that the codec encodes.
+type Outgoing = Message<(RequestHeadType, BodySize)>;
+
+/// Time after which a connection is closed if the other side doesn't acknowledge sent bytes. Otherwise, a
+/// connection whose network path fails silently would hang until its caller gives up. A lost packet is
+/// retransmitted several times within this time.
+const ACK_TIMEOUT: Duration = Duration::from_millis(2_500);
+
+/// Why a request got no response or an incomplete body.
+#[derive(Debug, thiserror::Error)]
+pub enum Error {
+    /// The request couldn't be sent whole, or the connection failed while its body was read.
+    #[error("sending failed: {0}")]
+    Send(#[from] io::Error),
+    /// The head of the response is malformed.
+    #[error("the response can't be read: {0}")]
+    Response(#[from] ParseError),
+    /// The body of the response is malformed.
+    #[error("the body can't be read: {0}")]
+    Body(#[from] PayloadError),
+    /// The other side closed the connection before the end of the response.
+    #[error("the connection ended early")]
+    Closed,
+}
+
+/// A connection to a server that carries no request at the moment.
+#[derive(Debug)]
+pub struct Connection(TcpStream);
+
+impl Connection {
+    /// Connects to `address` (IP address and port) within `timeout`. Sends no bytes of a request.
+    ///
+    /// ```
+    /// # tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap().block_on(async {
+    /// let timeout = std::time::Duration::from_secs(1);
+    /// assert!(http_client::Connection::connect("nobody", timeout).await.is_err());
+    /// # });
+    /// ```
+    ///
+    /// # Errors
+    /// When the connection fails or takes longer.
+    pub async fn connect(address: &str, timeout: Duration) -> io::Result<Self> {
+        let stream = tokio::time::timeout(timeout, TcpStream::connect(address)).await??;
+        stream.set_nodelay(true)?;
+        let timeout_ms = ACK_TIMEOUT.as_millis() as u32;
+        rustix::net::sockopt::set_tcp_user_timeout(&stream, timeout_ms)?;
+        Ok(Connection(stream))
+    }
+
+    /// Whether the connection is open and nothing arrived since the last response.
+    fn is_idle(&self) -> bool {
+        let read = self.0.try_read(&mut [0]);
+        read.is_err_and(|cause| cause.kind() == io::ErrorKind::WouldBlock)
+    }
+
+    /// Sends a request and receives the head of its response. If the response arrives before the whole
+    /// request was sent, the rest isn't sent. Such a connection isn't used again, since the other side
+    /// still expects the rest.
+    ///
+    /// # Errors
+    /// When no valid head arrives. The request may have been received and run nevertheless.
+    pub async fn exchange(
+        self,
+        head: RequestHead,
+        body: Bytes,
+    ) -> Result<(ResponseHead, Body), Error> {
+        let mut framed = Framed::new(self.0, ClientCodec::default());
+        let no_body = body.is_empty() && [Method::GET, Method::HEAD].contains(&head.method);
+        let length = if no_body { BodySize::None } else { BodySize::Sized(body.len() as u64) };
+        let item: Outgoing = Message::Item((RequestHeadType::from(head), length));
+        Pin::new(&mut framed).write(item)?;
+        if !body.is_empty() {
+            let chunk: Outgoing = Message::Chunk(Some(body));
+            Pin::new(&mut framed).write(chunk)?;
+        }
+        let (mut flushed, mut send_error) = (false, None);
+        let head = poll_fn(|cx| {
+            let mut framed = Pin::new(&mut framed);
+            if !flushed && send_error.is_none() {
+                match framed.as_mut().flush::<Outgoing>(cx) {
+                    std::task::Poll::Ready(Ok(())) => flushed = true,
+                    // The other side may have responded before it stopped reading.
+                    std::task::Poll::Ready(Err(cause)) => send_error = Some(cause),
+                    std::task::Poll::Pending => {}
+                }
+            }
+            framed.next_item(cx)
+        });
+        let head = match head.await {
+            Some(Ok(head)) => head,
+            Some(Err(cause)) => return Err(send_error.map_or(cause.into(), Error::Send)),
+            None => return Err(send_error.map_or(Error::Closed, Error::Send)),
+        };
+        let body = Body::new(&head, framed, flushed);
+        Ok((head, body))
+    }
+}
+
+/// The connection type for the head of a request: `close` if the connection won't be used again.
+pub fn connection_type(close: bool) -> ConnectionType {
+    if close { ConnectionType::Close } else { ConnectionType::KeepAlive }
+}
--- a/components/router/src/keyed.rs
+++ b/components/router/src/keyed.rs
@@ -11,7 +11,7 @@
 use engine::wire::{NOT_RUN, REPLAYED, REQUEST_ID};
 use engine::{Call, Client, Kind, Piece, Reply, Whole};
 use futures_util::stream;
-use life::{Admitted, Outcome, Reason, Sending, Unsent, Waiting};
+use lifecycle::{Admitted, Outcome, Reason, Sending, Unsent, Waiting};
 use once::{Kept, Member, Name, Record};
 use settings::Effective;
 use wire::Keyed;
@@ -77,7 +77,12 @@
     keyed && issued.is_some_and(|issued| issued + window >= now && issued <= now)
 }
 
-fn refused(state: &State, parcel: &Parcel, life: life::Request<Admitted>, error: Error) -> Answer {
+fn refused(
+    state: &State,
+    parcel: &Parcel,
+    life: lifecycle::Request<Admitted>,
+    error: Error,
+) -> Answer {
     let id = life.id();
     let outcome = life.not_run(Reason::NoServer);
     relay::note(state, id, &parcel.class.name, outcome);
@@ -115,7 +120,7 @@
     };
     let limits = &settings.limits;
     let client = Client::new(limits.connect, left + limits.idle_stream + BEYOND);
-    let sending = Waiting::Fresh(life.queue()).send();
+    let sending = Waiting::Queued(life.queue()).send();
     let failure = match client.call(&call).await {
         Ok(Reply::Whole(whole)) => return whole_answer(&state, &parcel, sending, whole),
         Ok(Reply::Stream(source)) => return streamed(&state, &parcel, sending, source, held),
@@ -123,7 +128,7 @@
     };
     log::warn!(request:% = id, home = owner.name.as_str(), cause:% = failure; "home gave no answer");
     let unsent = failure.unsent().then(Unsent::vouch);
-    let outcome = match sending.failed(unsent, None) {
+    let outcome = match sending.fail(unsent, None) {
         Ok(waiting) => waiting.refuse(Reason::NoServer),
         Err(outcome) => outcome,
     };
@@ -215,7 +220,7 @@
     state: Rc<State>,
     class: String,
     source: Box<engine::Stream>,
-    life: Option<life::Request<life::Streaming>>,
+    life: Option<lifecycle::Request<lifecycle::Streaming>>,
     /// The home has told the caller that the stream broke off.
     told: bool,
     /// The connection to the caller is cut next.
@@ -245,7 +250,7 @@
             }
             Err(cause) => {
                 log::warn!(request:% = id, cause:% = cause; "stream from the home broke off");
-                relay::note(&self.state, id, &self.class, life.broken());
+                relay::note(&self.state, id, &self.class, life.truncated());
                 self.cut = true;
                 let event = if self.told { Bytes::new() } else { passing::broken(id) };
                 Some(Ok(event))
@@ -306,7 +311,7 @@
         region: settings.region_names.key(&state.node.region).unwrap_or_default(),
     };
     Some(Job {
-        life: life::Request::new(id).admit(),
+        life: lifecycle::Request::new(id).admit(),
         parcel: Parcel {
             class,
             workspace: keyed.workspace,
--- a/components/router/src/stream.rs
+++ b/components/router/src/stream.rs
@@ -9,7 +9,7 @@
 use clock::Clock;
 use engine::{Call, Failure, Piece, Point, Reply};
 use futures_util::stream;
-use life::{Outcome, Streaming};
+use lifecycle::{Outcome, Streaming};
 use policy::Ending;
 use tokio::sync::mpsc;
 
@@ -30,7 +30,7 @@
 /// A stream under way from a backend server to a caller.
 pub(crate) struct Passing {
     place: Place,
-    life: Option<life::Request<Streaming>>,
+    life: Option<lifecycle::Request<Streaming>>,
     source: Box<engine::Stream>,
     /// What came before the answer was begun.
     first: Option<Piece>,
@@ -46,7 +46,7 @@
 impl Passing {
     pub(crate) fn new(
         place: Place,
-        life: life::Request<Streaming>,
+        life: lifecycle::Request<Streaming>,
         source: Box<engine::Stream>,
         first: Option<Piece>,
         parcel: Parcel,
@@ -126,7 +126,7 @@
         let life = self.life.take()?;
         let id = life.id();
         self.broken = true;
-        note(&self.place.state, id, &self.parcel.class.name, life.broken());
+        note(&self.place.state, id, &self.parcel.class.name, life.truncated());
         Some(Ok(broken(id)))
     }
 
@@ -196,7 +196,7 @@
     let error = serde_json::json!({"error": {
         "message": "the answer broke off; what came isn't whole, send the request again",
         "type": "server_error",
-        "outcome": Outcome::Broken.as_str(),
+        "outcome": Outcome::Truncated.as_str(),
         "request_id": id.to_string(),
     }});
     Bytes::from(format!("{BROKEN}data: {error}\n\n"))
