--- a/components/once/src/home.rs
+++ b/components/idempotency/src/home.rs
@@ -114,12 +114,12 @@
     ///
     /// ```
     /// use std::time::SystemTime;
-    /// let me = once::Member { name: "a".into(), address: "10.0.0.1:1".into() };
-    /// let mut home = once::Home::new(me.clone());
+    /// let me = idempotency::Member { name: "a".into(), address: "10.0.0.1:1".into() };
+    /// let mut home = idempotency::Home::new(me.clone());
     /// assert_eq!(home.owner(ids::Request::new()), None);
     /// let second = std::time::Duration::from_secs(1);
     /// let terms =
-    ///     once::Terms { window: 600 * second, skew: second, lag: 10 * second, fresh: 3 * second };
+    ///     idempotency::Terms { window: 600 * second, skew: second, lag: 10 * second, fresh: 3 * second };
     /// let now = SystemTime::now();
     /// home.listed(vec![me.clone()], &terms, now, now);
     /// assert_eq!(home.owner(ids::Request::new()), Some(&me));
--- a/components/once/tests/model.rs
+++ b/components/idempotency/tests/model.rs
@@ -10,7 +10,7 @@
 
 use xxhash_rust::xxh3::Xxh3Default;
 
-use once::{Answer, Home, Member, Name, Record, Terms};
+use idempotency::{Answer, Home, Member, Name, Record, Terms};
 
 const TICK: Duration = Duration::from_secs(1);
 const MEMBERS: usize = 2;
--- a/components/router/src/claim.rs
+++ b/components/router/src/claim.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use once::{Answer, Kept, Name, Record, Terms};
+use idempotency::{Answer, Kept, Name, Record, Terms};
 
 use crate::state::State;
 
--- a/components/router/src/follow.rs
+++ b/components/router/src/follow.rs
@@ -68,7 +68,7 @@
     let Some(terms) = claim::terms(state) else { return };
     let staying = vms.iter().filter(|vm| vm.role == Role::Entry && !vm.leaving);
     let members = staying
-        .map(|vm| once::Member { name: vm.name.clone(), address: vm.address.clone() })
+        .map(|vm| idempotency::Member { name: vm.name.clone(), address: vm.address.clone() })
         .collect();
     state.home.borrow_mut().listed(members, &terms, asked, state.wall());
 }
--- a/components/router/src/handover.rs
+++ b/components/router/src/handover.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use actix_http::{Request, Response, StatusCode};
-use once::{Kept, Member, Name, Record};
+use idempotency::{Kept, Member, Name, Record};
 use wire::{Handover, handover};
 
 use crate::answer::Answer;
--- a/components/router/src/keyed.rs
+++ b/components/router/src/keyed.rs
@@ -11,8 +11,8 @@
 use engine::wire::{NOT_RUN, REPLAYED, REQUEST_ID};
 use engine::{Call, Client, Kind, Piece, Reply, Whole};
 use futures_util::stream;
+use idempotency::{Kept, Member, Name, Record};
 use life::{Admitted, Outcome, Reason, Sending, Unsent, Waiting};
-use once::{Kept, Member, Name, Record};
 use settings::Effective;
 use wire::Keyed;
 
@@ -53,14 +53,16 @@
             job.parcel.claim = Some(claim);
             relay::serve(state, job, held).await
         }
-        Err(once::Answer::Seen(Record::Complete(Some(kept)))) => again(&state, id, &job, &kept),
-        Err(once::Answer::Seen(Record::Running)) => told(&state, id, &job, Error::Running),
-        Err(once::Answer::Seen(_)) => told(&state, id, &job, Error::Ran),
-        Err(once::Answer::MayHaveRun) if alone(&state, &job.parcel) => {
+        Err(idempotency::Answer::Seen(Record::Complete(Some(kept)))) => {
+            again(&state, id, &job, &kept)
+        }
+        Err(idempotency::Answer::Seen(Record::Running)) => told(&state, id, &job, Error::Running),
+        Err(idempotency::Answer::Seen(_)) => told(&state, id, &job, Error::Ran),
+        Err(idempotency::Answer::MayHaveRun) if alone(&state, &job.parcel) => {
             relay::serve(state, job, held).await
         }
-        Err(once::Answer::MayHaveRun) => told(&state, id, &job, Error::MayHaveRun),
-        Err(once::Answer::Undated) => refused(&state, &job.parcel, job.life, Error::Undated),
+        Err(idempotency::Answer::MayHaveRun) => told(&state, id, &job, Error::MayHaveRun),
+        Err(idempotency::Answer::Undated) => refused(&state, &job.parcel, job.life, Error::Undated),
         Err(_) => refused(&state, &job.parcel, job.life, Error::NoHome),
     }
 }
--- a/components/router/src/state.rs
+++ b/components/router/src/state.rs
@@ -53,7 +53,7 @@
     /// Addresses of backend servers that the list of VMs has as leaving.
     pub(crate) leaving: RefCell<BTreeSet<String>>,
     /// This node as the home of idempotency keys.
-    pub(crate) home: RefCell<once::Home>,
+    pub(crate) home: RefCell<idempotency::Home>,
     pub(crate) engines: RefCell<engine::Client>,
     pub(crate) http: awc::Client,
     pub(crate) metrics: Metrics,
@@ -70,8 +70,10 @@
         let since = clock.wall().duration_since(std::time::UNIX_EPOCH).unwrap_or_default();
         let seed = seed(&node.name);
         let scheduler = Scheduler::with_seed(seed);
-        let home =
-            once::Home::new(once::Member { name: node.name.clone(), address: String::new() });
+        let home = idempotency::Home::new(idempotency::Member {
+            name: node.name.clone(),
+            address: String::new(),
+        });
         Rc::new(State {
             node,
             clock,
--- a/tests/keyed.rs
+++ b/tests/keyed.rs
@@ -11,7 +11,7 @@
 use common::{node, post, session, tree};
 use configuration::wire::{Role, Vm};
 use fakes::{Plain, Platform, Raw, Step};
-use once::{Home, Member, Terms};
+use idempotency::{Home, Member, Terms};
 use router::Router;
 use script::Kind;
 
