--- a/components/idempotency/src/table.rs
+++ b/components/idempotency/src/table.rs
@@ -1,29 +1,31 @@
+//! Remembers the calls that an owner let through, and short answers to repeat.
+
 use std::collections::BTreeMap;
 use std::rc::Rc;
 use std::time::{Duration, SystemTime};
 
-/// Keys remembered at once. At today's sizes a window holds some thousand; beyond this a new key is
-/// refused as not run, since forgetting an old one could run it again.
-const KEYS: usize = 50_000;
-/// Longest answer that is kept for a repeated call; a booking's is some hundred bytes.
-const ANSWER: usize = 4 << 10;
-/// Bytes of answers kept in all, an eighth of what a node may hold for control.
-const ANSWERS: usize = 4 << 20;
+/// Number of keys that are remembered; a window holds some thousand. Beyond this a new key is refused
+/// as not run, because a call whose key was forgotten early could run again.
+const MAX_KEYS: usize = 50_000;
+/// Longest answer that is kept for a repeated call; the answer to a booking takes some hundred bytes.
+const MAX_ANSWER_BYTES: usize = 4 << 10;
+/// Bytes of all answers that are kept: an eighth of the memory that a node may use for control.
+const MAX_TOTAL_ANSWER_BYTES: usize = 4 << 20;
 
 derives::data! {
-    /// Name of a call: its workspace and its idempotency key.
+    /// Identity of a call: its workspace and its idempotency key.
     #[derive(Eq, Hash, PartialOrd, Ord)]
-    pub struct Name {
-        /// Workspace whose key it is; two workspaces may use the same one.
+    pub struct CallKey {
+        /// Workspace of the caller; two workspaces may use the same key.
         pub workspace: String,
-        /// The key.
+        /// Idempotency key.
         pub key: ids::Request,
     }
 
-    /// A whole answer, kept for a repeated call.
+    /// A complete answer, kept for a repeated call.
     #[derive(Eq, Hash, PartialOrd, Ord)]
-    pub struct Kept {
-        /// Status.
+    pub struct StoredAnswer {
+        /// HTTP status.
         pub status: u16,
         /// Media type.
         pub media: String,
@@ -34,72 +36,74 @@
     /// What is known of a call that was let through.
     #[derive(Eq, Hash, PartialOrd, Ord)]
     pub enum Record {
-        /// It waits or runs.
+        /// The call is queued or running.
         Running,
-        /// It may have run.
+        /// The call may have run.
         Unknown,
-        /// It ran, and its whole answer went out; kept if it is short.
-        Complete(Option<Rc<Kept>>),
+        /// The call ran, and its complete answer was sent; contains the answer if it is short.
+        Complete(Option<Rc<StoredAnswer>>),
     }
 }
 
-/// The calls that a home let through, for as long as their keys can be used.
+/// The calls that an owner let through, for as long as their keys can be used.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(crate) struct Table {
-    records: BTreeMap<Name, (SystemTime, Record)>,
-    kept: usize,
+    records: BTreeMap<CallKey, (SystemTime, Record)>,
+    answer_bytes: usize,
 }
 
 impl Table {
-    pub(crate) fn get(&self, name: &Name) -> Option<&Record> {
-        self.records.get(name).map(|(_, record)| record)
+    pub(crate) fn get(&self, call: &CallKey) -> Option<&Record> {
+        self.records.get(call).map(|(_, record)| record)
     }
 
-    pub(crate) fn full(&self) -> bool {
-        self.records.len() >= KEYS
+    pub(crate) fn is_full(&self) -> bool {
+        self.records.len() >= MAX_KEYS
     }
 
-    /// Puts a record in; a longer answer, or one that finds no room, isn't kept with it.
-    pub(crate) fn put(&mut self, name: Name, issued: SystemTime, record: Record) {
-        self.remove(&name);
+    /// Inserts or replaces a record. Its answer is dropped if it is too long or there is no space left.
+    pub(crate) fn insert(&mut self, call: CallKey, issued: SystemTime, record: Record) {
+        self.remove(&call);
         let record = match record {
-            Record::Complete(Some(kept)) if !self.room(&kept) => Record::Complete(None),
+            Record::Complete(Some(answer)) if !self.has_space(&answer) => Record::Complete(None),
             other => other,
         };
-        self.kept += size(&record);
-        self.records.insert(name, (issued, record));
+        self.answer_bytes += answer_size(&record);
+        self.records.insert(call, (issued, record));
     }
 
-    pub(crate) fn remove(&mut self, name: &Name) {
-        if let Some((_, record)) = self.records.remove(name) {
-            self.kept -= size(&record);
+    pub(crate) fn remove(&mut self, call: &CallKey) {
+        if let Some((_, record)) = self.records.remove(call) {
+            self.answer_bytes -= answer_size(&record);
         }
     }
 
-    /// Forgets keys issued longer ago than `window`; they are refused by their age.
-    pub(crate) fn forget(&mut self, window: Duration, now: SystemTime) {
-        let kept = &mut self.kept;
+    /// Removes keys that were issued longer ago than `window`; their age alone gets them refused.
+    pub(crate) fn remove_expired(&mut self, window: Duration, now: SystemTime) {
+        let answer_bytes = &mut self.answer_bytes;
         self.records.retain(|_, (issued, record)| {
             let usable = *issued + window >= now;
             if !usable {
-                *kept -= size(record);
+                *answer_bytes -= answer_size(record);
             }
             usable
         });
     }
 
-    pub(crate) fn iter(&self) -> impl Iterator<Item = (&Name, &Record)> {
-        self.records.iter().map(|(name, (_, record))| (name, record))
+    pub(crate) fn iter(&self) -> impl Iterator<Item = (&CallKey, &Record)> {
+        self.records.iter().map(|(call, (_, record))| (call, record))
     }
 
-    fn room(&self, kept: &Kept) -> bool {
-        kept.body.len() <= ANSWER && self.kept + kept.body.len() <= ANSWERS
+    fn has_space(&self, answer: &StoredAnswer) -> bool {
+        answer.body.len() <= MAX_ANSWER_BYTES
+            && self.answer_bytes + answer.body.len() <= MAX_TOTAL_ANSWER_BYTES
     }
 }
 
-fn size(record: &Record) -> usize {
+/// Length in bytes of the answer that a record holds.
+fn answer_size(record: &Record) -> usize {
     match record {
-        Record::Complete(Some(kept)) => kept.body.len(),
+        Record::Complete(Some(answer)) => answer.body.len(),
         _ => 0,
     }
 }
--- a/components/idempotency/tests/model.rs
+++ b/components/idempotency/tests/model.rs
@@ -1,8 +1,10 @@
-//! Every interleaving of a small fleet, a few calls with one key and a list that changes, walked
-//! breadth first over the real code of the home. Time goes in ticks. What the fleet may suffer:
-//! reads of the list that lag or don't happen (a pause is a member that takes no step while time
-//! goes on), clocks that differ, calls that are lost, delayed and overtaken, crashes at any moment,
-//! members that come back without memory, and lists that change and change back.
+//! Model-checks that a key runs at most once: explores breadth first every interleaving of a small
+//! fleet, a few calls with one key and a list that changes, using the real code of [`Owner`].
+//!
+//! Time passes in ticks. The model contains these faults: reads of the list that lag or don't happen
+//! (a paused process is a member that takes no step while time passes), clocks that differ, calls that
+//! are lost, delayed or reordered, crashes at any time, members that restart without memory, and lists
+//! that change and change back.
 
 use std::collections::{HashSet, VecDeque};
 use std::hash::Hash;
@@ -10,42 +12,46 @@
 
 use xxhash_rust::xxh3::Xxh3Default;
 
-use idempotency::{Answer, Home, Member, Name, Record, Terms};
+use idempotency::{Bounds, CallKey, Decision, Member, Owner, Record};
 
 const TICK: Duration = Duration::from_secs(1);
-const MEMBERS: usize = 2;
-/// Age of a read that a flawed member acts on, and for which it was the home at the start.
-const STALE: u32 = 12;
-/// The tick at which the first list was already read everywhere.
-const START: u64 = 100;
+const MEMBER_COUNT: usize = 2;
+/// Age in ticks of a read that a member with [`Flaw::StaleReads`] still acts on. At the start member 0
+/// has been the owner for a multiple of this.
+const STALE_TICKS: u32 = 12;
+/// First tick of the exploration, at which every member has read the first list.
+const START_TICK: u64 = 100;
 
-/// What the checker lets go wrong on purpose.
+/// A fault that the model contains on purpose.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Flaw {
     None,
-    /// New homes don't wait out the lag of the list.
-    Lag,
-    /// Member 0 acts on a read of any age.
-    Fresh,
-    /// Clocks differ by more than the settings say.
-    Skew,
-    /// A member that comes back takes itself for the home it was.
-    Restart,
+    /// New owners don't allow for the lag of the list.
+    NoListLag,
+    /// Member 0 acts on reads that are too old.
+    StaleReads,
+    /// Clocks differ by more than the bounds allow.
+    ClockSkew,
+    /// A member that restarts acts as the owner that it was at the start.
+    StaleMemory,
 }
 
-/// Sizes of a walk, in ticks.
+/// What one exploration covers; times are in ticks.
 #[derive(Clone, Copy, Debug)]
-struct Bounds {
-    terms: (u64, u64, u64),
+struct Scenario {
+    /// Lag of the list, largest age of a read and clock skew.
+    bounds: (u64, u64, u64),
     /// Tick of the last step.
     end: u64,
-    /// Lists after the first: the member that each makes the home.
+    /// Lists after the first, each by the only member on it, which owns the key.
     lists: &'static [usize],
-    /// By how much each member's clock is ahead.
-    ahead: [u64; MEMBERS],
-    /// Tick at which the key is issued, and by how much its issuer's clock is ahead.
+    /// Ticks by which each member's clock is ahead.
+    ahead: [u64; MEMBER_COUNT],
+    /// Tick at which the key is issued, and ticks by which its issuer's clock is ahead.
     issued: (u64, u64),
+    /// Largest number of calls.
     calls: usize,
+    /// Largest number of crashes.
     crashes: usize,
     flaw: Flaw,
 }
@@ -55,20 +61,21 @@
     tick: u64,
     /// Ticks at which the lists after the first were published.
     published: Vec<u64>,
-    homes: Vec<Home>,
-    /// Calls let through that wait at a member.
-    waiting: Vec<bool>,
+    owners: Vec<Owner>,
+    /// Whether a call that was let through is queued at each member.
+    queued: Vec<bool>,
     calls: usize,
     crashes: usize,
     runs: u32,
-    /// Whose steps come next in this tick. Members share nothing but what was published, and a read
-    /// may give what was published before, so their steps in one tick can be taken in any order.
+    /// Number of members that have had their turn in this tick, the current one included. Members share
+    /// only the published lists, and a read may return an earlier one, so the order of their steps
+    /// within a tick doesn't matter.
     turn: usize,
-    /// Whether the member has read the list in this tick; it does so at most once.
-    read: bool,
+    /// Whether the current member has read the list in this tick; it does so at most once.
+    has_read: bool,
 }
 
-/// States are remembered by a hash of 128 bits, to hold many in little memory.
+/// A hash of 128 bits that stands for a visited state, to keep many of them in little memory.
 fn digest(state: &State) -> u128 {
     let mut hasher = Xxh3Default::new();
     state.hash(&mut hasher);
@@ -79,15 +86,15 @@
     Member { name: format!("entry-{index}"), address: format!("10.0.0.{index}:1") }
 }
 
-impl Bounds {
-    fn terms(&self, index: usize) -> Terms {
-        let (lag, fresh, skew) = self.terms;
-        let stale = self.flaw == Flaw::Fresh && index == 0;
-        Terms {
-            window: 1000 * TICK,
-            lag: if self.flaw == Flaw::Lag { Duration::ZERO } else { TICK * lag as u32 },
-            fresh: TICK * if stale { STALE } else { fresh as u32 },
-            skew: TICK * skew as u32,
+impl Scenario {
+    fn bounds(&self, index: usize) -> Bounds {
+        let (lag, read_age, skew) = self.bounds;
+        let stale = self.flaw == Flaw::StaleReads && index == 0;
+        Bounds {
+            key_window: 1000 * TICK,
+            list_lag: if self.flaw == Flaw::NoListLag { Duration::ZERO } else { TICK * lag as u32 },
+            max_read_age: TICK * if stale { STALE_TICKS } else { read_age as u32 },
+            clock_skew: TICK * skew as u32,
         }
     }
 
@@ -95,49 +102,52 @@
         SystemTime::UNIX_EPOCH + Duration::from_secs(tick + ahead)
     }
 
-    fn name(&self) -> Name {
+    /// The key of the call, issued at the scenario's time.
+    fn call(&self) -> CallKey {
         let (tick, ahead) = self.issued;
         let millis = (tick + ahead) * 1000;
         let mut bytes = [0; 16];
         bytes[..6].copy_from_slice(&millis.to_be_bytes()[2..]);
         (bytes[6], bytes[8]) = (0x70, 0x80);
-        Name { workspace: "choir".to_string(), key: ids::Request::from_bytes(bytes) }
+        CallKey { workspace: "choir".to_string(), key: ids::Request::from_bytes(bytes) }
     }
 
-    /// Member 0 is the home at the start, and has been for long.
-    fn start(&self) -> State {
-        let mut homes: Vec<_> = (0..MEMBERS).map(|index| Home::new(member(index))).collect();
-        for (index, home) in homes.iter_mut().enumerate() {
-            for tick in START - 3 * u64::from(STALE)..=START {
+    /// The initial state: member 0 has been the owner for a long time.
+    fn initial(&self) -> State {
+        let mut owners: Vec<_> = (0..MEMBER_COUNT).map(|index| Owner::new(member(index))).collect();
+        for (index, owner) in owners.iter_mut().enumerate() {
+            for tick in START_TICK - 3 * u64::from(STALE_TICKS)..=START_TICK {
                 let now = self.time(tick, self.ahead[index]);
-                home.listed(vec![member(0)], &self.terms(index), now, now);
+                owner.apply_list(vec![member(0)], &self.bounds(index), now, now);
             }
         }
         State {
-            tick: START,
+            tick: START_TICK,
             published: vec![],
-            homes,
-            waiting: vec![false; MEMBERS],
+            owners,
+            queued: vec![false; MEMBER_COUNT],
             calls: 0,
             crashes: 0,
             runs: 0,
             turn: 0,
-            read: false,
+            has_read: false,
         }
     }
 
-    /// Lists that a read begun now may give: the newest that every read must show, and any since.
-    fn readable(&self, state: &State) -> Vec<usize> {
-        let lag = self.terms.0;
-        let due = state.published.iter().filter(|tick| **tick + lag <= state.tick).count();
-        let mut all: Vec<_> = (due..=state.published.len())
+    /// Lists that a read that begins now may return: the newest that every read must show, and any later
+    /// one.
+    fn readable_lists(&self, state: &State) -> Vec<usize> {
+        let lag = self.bounds.0;
+        let shown = state.published.iter().filter(|tick| **tick + lag <= state.tick).count();
+        let mut all: Vec<_> = (shown..=state.published.len())
             .map(|version| if version == 0 { 0 } else { self.lists[version - 1] })
             .collect();
         all.dedup();
         all
     }
 
-    fn next(&self, state: &State) -> Vec<State> {
+    /// All states that one step can lead to.
+    fn successors(&self, state: &State) -> Vec<State> {
         let mut all = vec![];
         let mut step = |change: &dyn Fn(&mut State)| {
             let mut next = state.clone();
@@ -147,10 +157,10 @@
         if state.turn == 0 && state.published.len() < self.lists.len() {
             step(&|next| next.published.push(next.tick));
         }
-        if state.turn < MEMBERS {
+        if state.turn < MEMBER_COUNT {
             step(&|next| {
                 next.turn += 1;
-                next.read = false;
+                next.has_read = false;
             });
         } else if state.tick < self.end {
             step(&|next| {
@@ -159,21 +169,21 @@
             });
         }
         if let Some(index) = state.turn.checked_sub(1) {
-            for listed in self.readable(state) {
-                if !state.read {
+            for listed in self.readable_lists(state) {
+                if !state.has_read {
                     step(&|next| self.read(next, index, listed));
                 }
             }
-            // A call that is delayed or overtaken arrives in a later step, one that is lost in none.
-            if state.calls < self.calls && state.tick >= self.issued.0 && !state.waiting[index] {
+            // A call that is delayed or reordered arrives in a later step; one that is lost never arrives.
+            if state.calls < self.calls && state.tick >= self.issued.0 && !state.queued[index] {
                 step(&|next| self.arrive(next, index));
             }
-            if state.waiting[index] {
+            if state.queued[index] {
                 step(&|next| self.send(next, index));
                 step(&|next| self.decline(next, index));
             }
-            // One that remembers nothing loses nothing by a crash but time.
-            if state.crashes < self.crashes && !state.homes[index].is_empty() {
+            // A member that remembers no call loses nothing but time in a crash.
+            if state.crashes < self.crashes && !state.owners[index].is_empty() {
                 step(&|next| self.crash(next, index));
             }
         }
@@ -182,50 +192,51 @@
 
     fn read(&self, state: &mut State, index: usize, listed: usize) {
         let now = self.time(state.tick, self.ahead[index]);
-        state.read = true;
-        state.homes[index].listed(vec![member(listed)], &self.terms(index), now, now);
+        state.has_read = true;
+        state.owners[index].apply_list(vec![member(listed)], &self.bounds(index), now, now);
     }
 
     fn arrive(&self, state: &mut State, index: usize) {
         state.calls += 1;
         let now = self.time(state.tick, self.ahead[index]);
-        if state.homes[index].claim(&self.name(), &self.terms(index), now) == Answer::Run {
-            state.waiting[index] = true;
+        if state.owners[index].claim(&self.call(), &self.bounds(index), now) == Decision::Run {
+            state.queued[index] = true;
         }
     }
 
     fn send(&self, state: &mut State, index: usize) {
-        state.waiting[index] = false;
+        state.queued[index] = false;
         state.runs += 1;
-        state.homes[index].ended(&self.name(), Record::Unknown);
+        state.owners[index].record_outcome(&self.call(), Record::Unknown);
     }
 
-    /// The backend server says that it ran nothing.
+    /// The backend server reports that it ran nothing.
     fn decline(&self, state: &mut State, index: usize) {
-        state.waiting[index] = false;
-        state.homes[index].take_back(&self.name());
+        state.queued[index] = false;
+        state.owners[index].release(&self.call());
     }
 
     fn crash(&self, state: &mut State, index: usize) {
         state.crashes += 1;
-        state.waiting[index] = false;
-        state.homes[index] = match self.flaw {
-            Flaw::Restart => self.start().homes[index].clone(),
-            _ => Home::new(member(index)),
+        state.queued[index] = false;
+        state.owners[index] = match self.flaw {
+            Flaw::StaleMemory => self.initial().owners[index].clone(),
+            _ => Owner::new(member(index)),
         };
     }
 
-    /// The number of states walked, or the one in which the call ran twice.
-    fn walk(&self) -> Result<usize, u64> {
+    /// The number of states explored; an error with the tick at which the call ran a second time, if it
+    /// can.
+    fn explore(&self) -> Result<usize, u64> {
         let mut seen = HashSet::new();
-        let mut due = VecDeque::from([self.start()]);
-        while let Some(state) = due.pop_front() {
+        let mut frontier = VecDeque::from([self.initial()]);
+        while let Some(state) = frontier.pop_front() {
             if state.runs > 1 {
                 return Err(state.tick);
             }
-            for next in self.next(&state) {
+            for next in self.successors(&state) {
                 if seen.insert(digest(&next)) {
-                    due.push_back(next);
+                    frontier.push_back(next);
                 }
             }
         }
@@ -233,55 +244,73 @@
     }
 }
 
-const SOUND: Bounds = Bounds {
-    terms: (1, 1, 0),
-    end: START + 5,
+const BASE: Scenario = Scenario {
+    bounds: (1, 1, 0),
+    end: START_TICK + 5,
     lists: &[1, 0],
     ahead: [0, 0],
-    issued: (START + 3, 0),
+    issued: (START_TICK + 3, 0),
     calls: 2,
     crashes: 1,
     flaw: Flaw::None,
 };
 
-const SKEWED: Bounds = Bounds { terms: (1, 1, 1), ..SOUND };
+const BASE_WITH_SKEW: Scenario = Scenario { bounds: (1, 1, 1), ..BASE };
 
-/// A home is paused, cut off, replaced or restarted while the same charge comes through two
-/// routers. Whatever the order, the customer pays at most once.
+/// An owner is paused, cut off, replaced or restarted while the same charge arrives through two
+/// routers. In no order of events may the charge run twice.
 #[test]
 fn can_run_a_key_at_most_once_in_every_interleaving() {
     let table = [
-        // The list changes and changes back; the key is as young as a new home lets through.
-        Bounds { crashes: 0, issued: (START + 4, 0), ..SOUND },
-        Bounds { crashes: 0, issued: (START + 3, 0), ..SOUND },
-        // The list changes for good, and members crash.
-        Bounds { lists: &[1], issued: (START + 4, 0), end: START + 6, ..SOUND },
-        // All of it, for a shorter time.
-        Bounds { issued: (START + 2, 0), end: START + 4, ..SOUND },
-        // Clocks differ by as much as they may.
-        Bounds { ahead: [1, 0], issued: (START + 5, 0), lists: &[1], end: START + 6, ..SKEWED },
-        Bounds { ahead: [0, 1], issued: (START + 4, 1), lists: &[1], ..SKEWED },
-        Bounds { ahead: [0, 0], issued: (START + 4, 1), crashes: 0, ..SKEWED },
-        // The caller's clock is further off than any may be.
-        Bounds { ahead: [1, 0], issued: (START + 2, 4), lists: &[1], crashes: 0, ..SKEWED },
+        // The list changes and changes back; the key is just young enough for a new owner to accept it.
+        Scenario { crashes: 0, issued: (START_TICK + 4, 0), ..BASE },
+        Scenario { crashes: 0, issued: (START_TICK + 3, 0), ..BASE },
+        // The list changes once, and members crash.
+        Scenario { lists: &[1], issued: (START_TICK + 4, 0), end: START_TICK + 6, ..BASE },
+        // The list changes and changes back, and members crash; over a shorter time.
+        Scenario { issued: (START_TICK + 2, 0), end: START_TICK + 4, ..BASE },
+        // Clocks differ by as much as the bounds allow.
+        Scenario {
+            ahead: [1, 0],
+            issued: (START_TICK + 5, 0),
+            lists: &[1],
+            end: START_TICK + 6,
+            ..BASE_WITH_SKEW
+        },
+        Scenario { ahead: [0, 1], issued: (START_TICK + 4, 1), lists: &[1], ..BASE_WITH_SKEW },
+        Scenario { ahead: [0, 0], issued: (START_TICK + 4, 1), crashes: 0, ..BASE_WITH_SKEW },
+        // The caller's clock differs by more than the bounds allow.
+        Scenario {
+            ahead: [1, 0],
+            issued: (START_TICK + 2, 4),
+            lists: &[1],
+            crashes: 0,
+            ..BASE_WITH_SKEW
+        },
     ];
-    for bounds in table {
-        let walked = bounds.walk();
-        assert!(walked.is_ok_and(|states| states > 1000), "{bounds:?}: {walked:?}");
+    for scenario in table {
+        let explored = scenario.explore();
+        assert!(explored.is_ok_and(|states| states > 1000), "{scenario:?}: {explored:?}");
     }
 }
 
-/// The checker is given what is wrong on purpose, and must find the second charge each time.
+/// Guards against a checker that can't fail: with each deliberate fault it must find the second run.
 #[test]
 fn can_find_each_flaw() {
     let table = [
-        (Flaw::Lag, Bounds { crashes: 0, ..SOUND }),
-        (Flaw::Fresh, Bounds { lists: &[1], crashes: 0, issued: (START + 4, 0), ..SOUND }),
-        (Flaw::Skew, Bounds { ahead: [5, 0], lists: &[1], issued: (START + 1, 5), ..SKEWED }),
-        (Flaw::Restart, Bounds { lists: &[], issued: (START, 0), ..SOUND }),
+        (Flaw::NoListLag, Scenario { crashes: 0, ..BASE }),
+        (
+            Flaw::StaleReads,
+            Scenario { lists: &[1], crashes: 0, issued: (START_TICK + 4, 0), ..BASE },
+        ),
+        (
+            Flaw::ClockSkew,
+            Scenario { ahead: [5, 0], lists: &[1], issued: (START_TICK + 1, 5), ..BASE_WITH_SKEW },
+        ),
+        (Flaw::StaleMemory, Scenario { lists: &[], issued: (START_TICK, 0), ..BASE }),
     ];
-    for (flaw, bounds) in table {
-        let walked = Bounds { flaw, ..bounds }.walk();
-        assert!(walked.is_err(), "{flaw:?} wasn't found in {walked:?} states");
+    for (flaw, scenario) in table {
+        let explored = Scenario { flaw, ..scenario }.explore();
+        assert!(explored.is_err(), "{flaw:?} wasn't found in {explored:?} states");
     }
 }
--- a/components/router/src/claim.rs
+++ b/components/router/src/claim.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use idempotency::{Answer, Kept, Name, Record, Terms};
+use idempotency::{Bounds, CallKey, Decision, Record, StoredAnswer};
 
 use crate::state::State;
 
@@ -14,26 +14,26 @@
 const FRESH: Duration = Duration::from_secs(7);
 
 /// The bounds of the settings in force.
-pub(crate) fn terms(state: &State) -> Option<Terms> {
+pub(crate) fn terms(state: &State) -> Option<Bounds> {
     let settings = state.settings()?;
     let limits = &settings.limits;
-    let (window, skew, lag) = (limits.key_window, limits.skew, limits.list_lag);
-    Some(Terms { window, skew, lag, fresh: FRESH })
+    let (key_window, clock_skew, list_lag) = (limits.key_window, limits.skew, limits.list_lag);
+    Some(Bounds { key_window, clock_skew, list_lag, max_read_age: FRESH })
 }
 
 /// A call that the home let through. Dropped without an ending, it may have run.
 pub(crate) struct Claim {
     state: Rc<State>,
-    name: Name,
+    name: CallKey,
     over: RefCell<bool>,
 }
 
 impl Claim {
     /// Asks this node as the home; the error says why the call isn't let through.
-    pub(crate) fn make(state: &Rc<State>, name: Name) -> Result<Self, Answer> {
-        let Some(terms) = terms(state) else { return Err(Answer::Elsewhere) };
+    pub(crate) fn make(state: &Rc<State>, name: CallKey) -> Result<Self, Decision> {
+        let Some(terms) = terms(state) else { return Err(Decision::NotOwner) };
         match state.home.borrow_mut().claim(&name, &terms, state.wall()) {
-            Answer::Run => {}
+            Decision::Run => {}
             answer => return Err(answer),
         }
         Ok(Claim { state: state.clone(), name, over: RefCell::new(false) })
@@ -42,21 +42,21 @@
     /// Nothing of the call ran.
     pub(crate) fn not_run(&self) {
         self.over.replace(true);
-        self.state.home.borrow_mut().take_back(&self.name);
+        self.state.home.borrow_mut().release(&self.name);
     }
 
     /// The whole answer went out.
-    pub(crate) fn complete(&self, kept: Option<Kept>) {
+    pub(crate) fn complete(&self, kept: Option<StoredAnswer>) {
         self.over.replace(true);
         let record = Record::Complete(kept.map(Rc::new));
-        self.state.home.borrow_mut().ended(&self.name, record);
+        self.state.home.borrow_mut().record_outcome(&self.name, record);
     }
 }
 
 impl Drop for Claim {
     fn drop(&mut self) {
         if !*self.over.borrow() {
-            self.state.home.borrow_mut().ended(&self.name, Record::Unknown);
+            self.state.home.borrow_mut().record_outcome(&self.name, Record::Unknown);
         }
     }
 }
--- a/components/router/src/follow.rs
+++ b/components/router/src/follow.rs
@@ -70,5 +70,5 @@
     let members = staying
         .map(|vm| idempotency::Member { name: vm.name.clone(), address: vm.address.clone() })
         .collect();
-    state.home.borrow_mut().listed(members, &terms, asked, state.wall());
+    state.home.borrow_mut().apply_list(members, &terms, asked, state.wall());
 }
--- a/components/router/src/handover.rs
+++ b/components/router/src/handover.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use actix_http::{Request, Response, StatusCode};
-use idempotency::{Kept, Member, Name, Record};
+use idempotency::{CallKey, Member, Record, StoredAnswer};
 use wire::{Handover, handover};
 
 use crate::answer::Answer;
@@ -42,7 +42,7 @@
     }
 }
 
-fn call(name: Name, record: Record) -> handover::Call {
+fn call(name: CallKey, record: Record) -> handover::Call {
     let answer = match record {
         Record::Complete(Some(kept)) => Some(handover::Answer {
             status: kept.status,
@@ -68,11 +68,11 @@
         let Ok(key) = ids::Request::parse(&call.key) else { continue };
         let record = match call.answer {
             Some(handover::Answer { status, media, body }) => {
-                Record::Complete(Some(Rc::new(Kept { status, media, body })))
+                Record::Complete(Some(Rc::new(StoredAnswer { status, media, body })))
             }
             None => Record::Unknown,
         };
-        home.take_over(Name { workspace: call.workspace, key }, record);
+        home.accept_handover(CallKey { workspace: call.workspace, key }, record);
     }
     Response::new(StatusCode::OK).map_into_boxed_body()
 }
--- a/components/router/src/keyed.rs
+++ b/components/router/src/keyed.rs
@@ -11,7 +11,7 @@
 use engine::wire::{NOT_RUN, REPLAYED, REQUEST_ID};
 use engine::{Call, Client, Kind, Piece, Reply, Whole};
 use futures_util::stream;
-use idempotency::{Kept, Member, Name, Record};
+use idempotency::{CallKey, Member, Record, StoredAnswer};
 use life::{Admitted, Outcome, Reason, Sending, Unsent, Waiting};
 use settings::Effective;
 use wire::Keyed;
@@ -33,8 +33,8 @@
 pub(crate) async fn serve(state: Rc<State>, job: Job, key: ids::Request, held: Held) -> Answer {
     let (owner, mine) = {
         let home = state.home.borrow();
-        let owner = home.owner(key).cloned();
-        let mine = owner.as_ref().is_some_and(|owner| home.is_me(owner));
+        let owner = home.owner_of(key).cloned();
+        let mine = owner.as_ref().is_some_and(|owner| home.is_self(owner));
         (owner, mine)
     };
     match owner {
@@ -46,23 +46,27 @@
 
 /// Lets a call through at this node, or not.
 async fn here(state: Rc<State>, mut job: Job, key: ids::Request, held: Held) -> Answer {
-    let name = Name { workspace: job.parcel.workspace.clone(), key };
+    let name = CallKey { workspace: job.parcel.workspace.clone(), key };
     let id = job.life.id();
     match Claim::make(&state, name) {
         Ok(claim) => {
             job.parcel.claim = Some(claim);
             relay::serve(state, job, held).await
         }
-        Err(idempotency::Answer::Seen(Record::Complete(Some(kept)))) => {
+        Err(idempotency::Decision::Duplicate(Record::Complete(Some(kept)))) => {
             again(&state, id, &job, &kept)
         }
-        Err(idempotency::Answer::Seen(Record::Running)) => told(&state, id, &job, Error::Running),
-        Err(idempotency::Answer::Seen(_)) => told(&state, id, &job, Error::Ran),
-        Err(idempotency::Answer::MayHaveRun) if alone(&state, &job.parcel) => {
+        Err(idempotency::Decision::Duplicate(Record::Running)) => {
+            told(&state, id, &job, Error::Running)
+        }
+        Err(idempotency::Decision::Duplicate(_)) => told(&state, id, &job, Error::Ran),
+        Err(idempotency::Decision::MayHaveRun) if alone(&state, &job.parcel) => {
             relay::serve(state, job, held).await
         }
-        Err(idempotency::Answer::MayHaveRun) => told(&state, id, &job, Error::MayHaveRun),
-        Err(idempotency::Answer::Undated) => refused(&state, &job.parcel, job.life, Error::Undated),
+        Err(idempotency::Decision::MayHaveRun) => told(&state, id, &job, Error::MayHaveRun),
+        Err(idempotency::Decision::Undated) => {
+            refused(&state, &job.parcel, job.life, Error::Undated)
+        }
         Err(_) => refused(&state, &job.parcel, job.life, Error::NoHome),
     }
 }
@@ -94,7 +98,7 @@
 }
 
 /// Gives the answer of the first call once more.
-fn again(state: &State, id: ids::Request, job: &Job, kept: &Kept) -> Answer {
+fn again(state: &State, id: ids::Request, job: &Job, kept: &StoredAnswer) -> Answer {
     relay::note(state, id, &job.parcel.class.name, Outcome::Complete);
     let status = StatusCode::from_u16(kept.status).unwrap_or(StatusCode::OK);
     let mut response = Response::build(status);
--- a/components/router/src/lib.rs
+++ b/components/router/src/lib.rs
@@ -59,7 +59,7 @@
         let peers = Listener::open_for("peers", peers, own(), handler).await?;
         *state.address.borrow_mut() = peers.address().to_string();
         let (name, address) = (state.node.name.clone(), peers.address().to_string());
-        *state.home.borrow_mut() = idempotency::Home::new(idempotency::Member { name, address });
+        *state.home.borrow_mut() = idempotency::Owner::new(idempotency::Member { name, address });
         let shared = state.clone();
         let handler = move |request| operators::handle(shared.clone(), request);
         let operators = Listener::open_for("operators", operators, own(), handler).await?;
--- a/components/router/src/relay.rs
+++ b/components/router/src/relay.rs
@@ -7,7 +7,7 @@
 use clock::Clock;
 use engine::wire::REQUEST_ID;
 use engine::{Call, Failure, Kind, Piece, Reply, Whole};
-use idempotency::Kept;
+use idempotency::StoredAnswer;
 use life::{Outcome, Reason, Repeatable, Sending, Unsent, Waiting};
 use policy::{Ending, Refusal};
 use settings::{Server, ServerKind};
@@ -337,7 +337,7 @@
             let outcome = sending.complete();
             if let Some(claim) = &parcel.claim {
                 let (media, body) = (whole.media.clone(), whole.body.to_vec());
-                claim.complete(Some(Kept { status: whole.status, media, body }));
+                claim.complete(Some(StoredAnswer { status: whole.status, media, body }));
             }
             note(&place.state, id, &parcel.class.name, outcome);
             answered(&place.state, &parcel);
--- a/components/router/src/state.rs
+++ b/components/router/src/state.rs
@@ -53,7 +53,7 @@
     /// Addresses of backend servers that the list of VMs has as leaving.
     pub(crate) leaving: RefCell<BTreeSet<String>>,
     /// This node as the home of idempotency keys.
-    pub(crate) home: RefCell<idempotency::Home>,
+    pub(crate) home: RefCell<idempotency::Owner>,
     pub(crate) engines: RefCell<engine::Client>,
     pub(crate) http: awc::Client,
     pub(crate) metrics: Metrics,
@@ -70,7 +70,7 @@
         let since = clock.wall().duration_since(std::time::UNIX_EPOCH).unwrap_or_default();
         let seed = seed(&node.name);
         let scheduler = Scheduler::with_seed(seed);
-        let home = idempotency::Home::new(idempotency::Member {
+        let home = idempotency::Owner::new(idempotency::Member {
             name: node.name.clone(),
             address: String::new(),
         });
--- a/tests/keyed.rs
+++ b/tests/keyed.rs
@@ -11,7 +11,7 @@
 use common::{node, post, session, tree};
 use configuration::wire::{Role, Vm};
 use fakes::{Plain, Platform, Raw, Step};
-use idempotency::{Home, Member, Terms};
+use idempotency::{Bounds, Member, Owner};
 use router::Router;
 use script::Kind;
 
@@ -90,10 +90,15 @@
         });
         let members: Vec<_> = members.collect();
         let second = Duration::from_secs(1);
-        let terms = Terms { window: second, skew: second, lag: second, fresh: second };
-        let (now, mut home) = (SystemTime::now(), Home::new(members[0].clone()));
-        home.listed(members, &terms, now, now);
-        home.owner(ids::Request::parse(key).unwrap()).unwrap().name.clone()
+        let bounds = Bounds {
+            key_window: second,
+            clock_skew: second,
+            list_lag: second,
+            max_read_age: second,
+        };
+        let (now, mut owner) = (SystemTime::now(), Owner::new(members[0].clone()));
+        owner.apply_list(members, &bounds, now, now);
+        owner.owner_of(ids::Request::parse(key).unwrap()).unwrap().name.clone()
     }
 
     /// How often the desk ran calls with this key.
