--- a/components/fleet/examples/slopes/node.rs
+++ b/components/fleet/examples/slopes/node.rs
@@ -7,7 +7,7 @@
 use fleet::exchange::{ANSWER_HEAD, Exchange, Own, REQUEST_HEAD};
 use fleet::share::{Past, Pool};
 use fleet::{Listed, View};
-use wire::{Demand, Frame, Sent};
+use wire::{Demand, Frame, InFlight};
 
 use crate::model::{Call, PERIOD, SLOTS};
 
@@ -77,7 +77,7 @@
     pub fn look(&mut self) {
         let sent = self.sent.iter().filter(|(_, count)| **count > 0);
         self.own.sent = sent
-            .map(|(server, count)| Sent { server: server_key(*server), count: *count })
+            .map(|(server, count)| InFlight { key: server_key(*server), count: *count })
             .collect();
         let row = |tier: usize| Demand {
             tier: tier as u8,
--- a/components/fleet/src/claims.rs
+++ b/components/fleet/src/claims.rs
@@ -7,7 +7,7 @@
 
 use std::time::Instant;
 
-use wire::{Demand, Sent, Wait};
+use wire::{Demand, InFlight, Queued};
 
 use crate::exchange::Own;
 use crate::share::{Claim, Need, Voice};
@@ -33,7 +33,7 @@
 /// assert_eq!(fleet::claims::own(&own, &target).sent, 0);
 /// ```
 pub fn own(own: &Own, target: &Target) -> Claim {
-    let found = own.sent.iter().find(|sent| sent.server == target.server);
+    let found = own.sent.iter().find(|sent| sent.key == target.server);
     let sent = found.map_or(0, |sent| sent.count);
     Claim {
         node: wire::key(&own.name),
@@ -79,8 +79,8 @@
     view.mates().map(|(_, member)| claim(member)).collect()
 }
 
-fn on_limit(node: u32, voice: Voice, rows: &[Sent], workspace: u32) -> Claim {
-    let sent = rows.iter().find(|row| row.server == workspace).map_or(0, |row| row.count);
+fn on_limit(node: u32, voice: Voice, rows: &[InFlight], workspace: u32) -> Claim {
+    let sent = rows.iter().find(|row| row.key == workspace).map_or(0, |row| row.count);
     let need = Need { tier: 0, places: f64::from(sent + 1) };
     let needs = if sent > 0 && voice == Voice::Fresh { vec![need] } else { vec![] };
     Claim { node, voice, needs, sent, waiting: None }
@@ -100,16 +100,16 @@
     let voice = voice(view, member, now);
     let fresh = member.last.as_ref().filter(|_| voice == Voice::Fresh);
     let demand = fresh.map_or(&[][..], |last| &last.demand);
-    let waits = fresh.map_or(&[][..], |last| &last.waits);
+    let waits = fresh.map_or(&[][..], |last| &last.queued);
     let needs = needs(demand, waits, sent, target);
     Claim { node: member.key, voice, needs, sent, waiting: waiting(waits, target) }
 }
 
 /// Places that a node could fill at one server, by tier: those it fills, by the tiers of its work
 /// in flight, and its part of what waits.
-fn needs(demand: &[Demand], waits: &[Wait], sent: u32, target: &Target) -> Vec<Need> {
-    let all: u32 = demand.iter().map(|row| row.sent).sum();
-    let filled = |row: &Demand| f64::from(sent) * f64::from(row.sent) / f64::from(all.max(1));
+fn needs(demand: &[Demand], waits: &[Queued], sent: u32, target: &Target) -> Vec<Need> {
+    let all: u32 = demand.iter().map(|row| row.in_flight).sum();
+    let filled = |row: &Demand| f64::from(sent) * f64::from(row.in_flight) / f64::from(all.max(1));
     let waiting = |row: &Demand| {
         // Demand is a mean over seconds; when nothing waits just now, its models aren't known.
         if waits.is_empty() {
@@ -126,7 +126,7 @@
     target.models.iter().find(|(held, _)| *held == model).map_or(0.0, |(_, part)| *part)
 }
 
-fn waiting(waits: &[Wait], target: &Target) -> Option<u8> {
+fn waiting(waits: &[Queued], target: &Target) -> Option<u8> {
     let rows = waits.iter().filter(|wait| wait.count > 0 && part(target, wait.model) > 0.0);
     rows.map(|wait| wait.tier).min()
 }
--- a/components/fleet/src/exchange.rs
+++ b/components/fleet/src/exchange.rs
@@ -9,7 +9,7 @@
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-use wire::{Alive, Demand, Frame, Load, Sent, Wait};
+use wire::{Demand, Frame, InFlight, Liveness, Load, Queued};
 use xxhash_rust::xxh3::xxh3_64;
 
 use crate::budget::Budget;
@@ -61,13 +61,13 @@
         /// It takes no new work.
         pub leaving: bool,
         /// Requests in flight by server.
-        pub sent: Vec<Sent>,
+        pub sent: Vec<InFlight>,
         /// Work by tier.
         pub demand: Vec<Demand>,
         /// Work that waits, by model and tier.
-        pub waits: Vec<Wait>,
+        pub waits: Vec<Queued>,
         /// Requests in flight by workspace that has a limit.
-        pub workspaces: Vec<Sent>,
+        pub workspaces: Vec<InFlight>,
         /// Servers it suspects.
         pub suspects: Vec<u32>,
         /// Work of its cell, by tier, as far as it knows.
@@ -169,7 +169,7 @@
             version: wire::VERSION,
             from: own.name.clone(),
             incarnation: own.incarnation,
-            beat: self.beat,
+            sequence: self.beat,
             address: own.address.clone(),
             domain: own.domain.clone(),
             revision: own.revision,
@@ -177,7 +177,7 @@
             leaving: own.leaving,
             demand: own.demand.clone(),
             suspects: own.suspects.clone(),
-            waits: longest(&own.waits),
+            queued: longest(&own.waits),
             workspaces: busiest(&own.workspaces),
             ..Default::default()
         };
@@ -185,7 +185,7 @@
             frame.cells = own.cells.clone();
             frame.demand.clear();
             frame.workspaces.clear();
-            frame.waits.clear();
+            frame.queued.clear();
             return frame;
         }
         let incarnation = view.members().find(|(name, _)| *name == to).map(|(_, m)| m.incarnation);
@@ -199,15 +199,15 @@
         }
         let saved = self.budget.left(now).saturating_sub(REQUEST_HEAD);
         let mut room = (saved / 2).clamp(LEAST, LONGEST);
-        frame.alive = alive(view, to, now, &mut room);
+        frame.liveness = alive(view, to, now, &mut room);
         let counts = counts(own, told);
         let moved = counts.iter().filter(|count| count.moved > 0);
-        frame.sent = moved.map_while(|count| take(&mut room, SENT, count.sent)).collect();
+        frame.in_flight = moved.map_while(|count| take(&mut room, SENT, count.sent)).collect();
         frame.loads = loads(view, told, now, &mut room);
         frame.cells = cells(view, now, &mut room);
         let mut rest: Vec<_> = counts.iter().filter(|count| count.moved == 0).collect();
         rest.sort_by_key(|count| count.beat);
-        frame.sent.extend(rest.iter().map_while(|count| take(&mut room, SENT, count.sent)));
+        frame.in_flight.extend(rest.iter().map_while(|count| take(&mut room, SENT, count.sent)));
         frame
     }
 
@@ -221,11 +221,11 @@
     /// after all is healed by telling again.
     pub fn told(&mut self, to: &str, frame: &Frame, now: Instant) {
         let Some(told) = self.told.get_mut(to) else { return };
-        for sent in &frame.sent {
-            told.sent.insert(sent.server, (sent.count, frame.beat));
+        for sent in &frame.in_flight {
+            told.sent.insert(sent.key, (sent.count, frame.sequence));
         }
         // Zeros that were told need no memory; the rest is bounded by the servers of the cell.
-        told.sent.retain(|_, (count, beat)| *count > 0 || *beat == frame.beat);
+        told.sent.retain(|_, (count, beat)| *count > 0 || *beat == frame.sequence);
         for load in &frame.loads {
             let at = now.checked_sub(Duration::from_millis(load.age_ms.into())).unwrap_or(now);
             told.loads.insert(load.server, at);
@@ -233,22 +233,22 @@
     }
 }
 
-fn longest(waits: &[Wait]) -> Vec<Wait> {
+fn longest(waits: &[Queued]) -> Vec<Queued> {
     let mut longest = waits.to_vec();
     longest.sort_by_key(|row| (row.tier, std::cmp::Reverse(row.count)));
     longest.truncate(WAITS);
     longest
 }
 
-fn busiest(workspaces: &[Sent]) -> Vec<Sent> {
+fn busiest(workspaces: &[InFlight]) -> Vec<InFlight> {
     let mut busiest = workspaces.to_vec();
-    busiest.sort_by_key(|row| (std::cmp::Reverse(row.count), row.server));
+    busiest.sort_by_key(|row| (std::cmp::Reverse(row.count), row.key));
     busiest.truncate(WORKSPACES);
     busiest
 }
 
 struct Count {
-    sent: Sent,
+    sent: InFlight,
     moved: u32,
     beat: u64,
 }
@@ -256,23 +256,23 @@
 /// Counts of requests in flight, those that moved furthest first.
 fn counts(own: &Own, told: &Told) -> Vec<Count> {
     let known = |server| told.sent.get(&server).copied().unwrap_or((0, 0));
-    let one = |sent: Sent| {
-        let (count, beat) = known(sent.server);
+    let one = |sent: InFlight| {
+        let (count, beat) = known(sent.key);
         Count { sent, moved: count.abs_diff(sent.count), beat }
     };
     let mut counts: Vec<_> = own.sent.iter().copied().map(one).collect();
-    let gone = told.sent.keys().filter(|key| !own.sent.iter().any(|sent| sent.server == **key));
-    counts.extend(gone.map(|server| one(Sent { server: *server, count: 0 })));
+    let gone = told.sent.keys().filter(|key| !own.sent.iter().any(|sent| sent.key == **key));
+    counts.extend(gone.map(|server| one(InFlight { key: *server, count: 0 })));
     counts.sort_by_key(|count| (std::cmp::Reverse(count.moved), count.beat));
     counts
 }
 
-fn alive(view: &View, to: &str, now: Instant, room: &mut usize) -> Vec<Alive> {
+fn alive(view: &View, to: &str, now: Instant, room: &mut usize) -> Vec<Liveness> {
     let others = view.members().filter(|(name, _)| *name != to).map(|(_, member)| member);
     let signs = others.filter_map(|member| Some((member.alive?, member.key)));
     let mut signs: Vec<_> = signs.filter(|(at, _)| now - *at < SUSPECT).collect();
     signs.sort_by_key(|(at, _)| std::cmp::Reverse(*at));
-    let rows = signs.into_iter().map(|(at, node)| Alive {
+    let rows = signs.into_iter().map(|(at, node)| Liveness {
         node,
         age_ms: now.saturating_duration_since(at).as_millis() as u32,
     });
--- a/components/fleet/src/view.rs
+++ b/components/fleet/src/view.rs
@@ -151,30 +151,30 @@
             member.sent.clear();
             member.last = None;
         }
-        if member.last.as_ref().is_some_and(|last| frame.beat < last.beat) {
+        if member.last.as_ref().is_some_and(|last| frame.sequence < last.sequence) {
             return false;
         }
         if !frame.address.is_empty() && !member.listed {
             member.address = std::mem::take(&mut frame.address);
             member.domain = std::mem::take(&mut frame.domain);
         }
-        for sent in std::mem::take(&mut frame.sent) {
+        for sent in std::mem::take(&mut frame.in_flight) {
             match sent.count {
-                0 => member.sent.remove(&sent.server),
-                count => member.sent.insert(sent.server, count),
+                0 => member.sent.remove(&sent.key),
+                count => member.sent.insert(sent.key, count),
             };
         }
         member.incarnation = frame.incarnation;
         member.heard = Some(now);
         member.alive = Some(now);
-        (frame.loads, frame.alive, frame.cells) = Default::default();
+        (frame.loads, frame.liveness, frame.cells) = Default::default();
         member.last = Some(frame);
         true
     }
 
     fn pass_on(&mut self, frame: &Frame, now: Instant) {
         let before = |age: u32| now.checked_sub(Duration::from_millis(age.into()));
-        for alive in &frame.alive {
+        for alive in &frame.liveness {
             let mut members = self.members.values_mut();
             let Some(member) = members.find(|member| member.key == alive.node) else { continue };
             if let Some(at) = before(alive.age_ms) {
--- a/components/fleet/tests/exchange.rs
+++ b/components/fleet/tests/exchange.rs
@@ -4,7 +4,7 @@
 
 use fleet::exchange::{ANSWER_HEAD, Exchange, Own, REQUEST_HEAD};
 use fleet::{Listed, View};
-use wire::{Frame, Sent, key};
+use wire::{Frame, InFlight, key};
 
 const PERIOD: Duration = Duration::from_millis(500);
 const RATE: u32 = 1_200;
@@ -71,7 +71,7 @@
     let mut now = Instant::now();
     let mut nodes = fleet(7, now);
     for (index, node) in nodes.iter_mut().enumerate() {
-        node.own.sent = vec![Sent { server: key("engine"), count: index as u32 }];
+        node.own.sent = vec![InFlight { key: key("engine"), count: index as u32 }];
     }
     for _ in 0..10 {
         now += PERIOD;
@@ -100,7 +100,7 @@
         for (index, node) in nodes.iter_mut().enumerate() {
             let count = |server: u32| 1 + (server * 7 + step as u32 * 13 + index as u32) % 30;
             let one =
-                |server| Sent { server: key(&format!("engine-{server}")), count: count(server) };
+                |server| InFlight { key: key(&format!("engine-{server}")), count: count(server) };
             node.own.sent = (0..100).map(one).collect();
         }
         round(&mut nodes, now, |_, _| true);
@@ -122,7 +122,7 @@
     let mut nodes = fleet(3, now);
     for step in 0..60 {
         now += PERIOD;
-        nodes[0].own.sent = vec![Sent { server: key("engine"), count: step / 10 }];
+        nodes[0].own.sent = vec![InFlight { key: key("engine"), count: step / 10 }];
         round(&mut nodes, now, |from, to| step >= 40 || (from, to) != (0, 1));
     }
     for _ in 0..20 {
@@ -186,7 +186,7 @@
         let mates = (0..4).map(|mate| key(&format!("entry-{}", cell * 4 + mate)));
         node.view.set_mates(mates.collect());
         node.own.sent =
-            (0..80).map(|s| Sent { server: key(&format!("engine-{s}")), count: 3 }).collect();
+            (0..80).map(|s| InFlight { key: key(&format!("engine-{s}")), count: 3 }).collect();
         let row = wire::Cell { cell: cell as u32, age_ms: 0, tier: 1, waiting: 0, free: 9 };
         node.own.cells = vec![row];
     }
--- a/components/fleet/tests/share.rs
+++ b/components/fleet/tests/share.rs
@@ -154,7 +154,7 @@
 fn can_tell_models_apart() {
     let target = fleet::claims::Target { server: 5, part: 0.5, models: vec![(1, 1.0)] };
     let row = wire::Demand { tier: 0, waiting: 9, sent: 0 };
-    let waits = |model| vec![wire::Wait { model, tier: 0, count: 9 }];
+    let waits = |model| vec![wire::Queued { model, tier: 0, count: 9 }];
     let own = |model| fleet::exchange::Own {
         demand: vec![row],
         waits: waits(model),
--- a/components/fleet/tests/view.rs
+++ b/components/fleet/tests/view.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, Instant};
 
 use fleet::{Listed, Standing, View};
-use wire::{Alive, Frame, key};
+use wire::{Frame, Liveness, key};
 
 const PERIOD: Duration = Duration::from_millis(500);
 
@@ -71,7 +71,7 @@
     let mut beat = 0;
     pass(&mut view, &mut now, 60, |view, now| {
         beat += 1;
-        let alive = vec![Alive { node: key("b"), age_ms: 700 }];
+        let alive = vec![Liveness { node: key("b"), age_ms: 700 }];
         view.heard(Frame { alive, ..frame("c", 1, beat) }, now);
     });
     assert_eq!(standing(&view, "b", now), Standing::Alive);
@@ -93,7 +93,7 @@
         beat += 1;
         let age_ms = (now - died).as_millis() as u32;
         view.heard(
-            Frame { alive: vec![Alive { node: key("b"), age_ms }], ..frame("c", 1, beat) },
+            Frame { alive: vec![Liveness { node: key("b"), age_ms }], ..frame("c", 1, beat) },
             now,
         );
     });
@@ -111,7 +111,7 @@
     pass(&mut view, &mut now, 5, |_, _| {});
     assert_eq!(standing(&view, "b", now), Standing::Suspect);
     view.heard(
-        Frame { alive: vec![Alive { node: key("b"), age_ms: 100 }], ..frame("c", 1, 1) },
+        Frame { alive: vec![Liveness { node: key("b"), age_ms: 100 }], ..frame("c", 1, 1) },
         now,
     );
     assert_eq!(standing(&view, "b", now), Standing::Alive);
@@ -143,7 +143,7 @@
     let now = Instant::now();
     let mut view = View::new();
     view.listed(listed(&["b"]), now);
-    let sent = vec![wire::Sent { server: key("engine"), count: 3 }];
+    let sent = vec![wire::InFlight { key: key("engine"), count: 3 }];
     assert!(view.heard(Frame { sent, ..frame("b", 1, 9) }, now));
     assert_eq!(view.sent("engine", now), 3);
     assert!(view.heard(frame("b", 2, 1), now));
@@ -180,8 +180,10 @@
     pass(&mut view, &mut now, 30, |view, now| {
         beat += 1;
         view.heard(frame("b", 1, beat), now);
-        let alive =
-            vec![Alive { node: key("b"), age_ms: u32::MAX }, Alive { node: key("d"), age_ms: 0 }];
+        let alive = vec![
+            Liveness { node: key("b"), age_ms: u32::MAX },
+            Liveness { node: key("d"), age_ms: 0 },
+        ];
         view.heard(Frame { alive, ..frame("c", 1, beat) }, now);
     });
     assert_eq!(standing(&view, "b", now), Standing::Alive, "nobody is talked out of the view");
--- a/components/forward/src/follow.rs
+++ b/components/forward/src/follow.rs
@@ -228,16 +228,16 @@
     };
     let update = updates::request_update(state, peer, wait).await?;
     let now = state.clock.now();
-    if update.lost {
+    if update.store_lost {
         // Only this peer may be cut off from the store; the next source shows whether others are as well.
         return Err(StoreError::LostByPeer(peer));
     }
-    if update.unknown {
+    if update.history_lost {
         return Err(StoreError::Unavailable(format!(
             "peer {peer} no longer knows all changes after this node's position"
         )));
     }
-    match update.returned_ms.map(|ago| Duration::from_millis(ago.into())) {
+    match update.store_returned_ms.map(|ago| Duration::from_millis(ago.into())) {
         Some(ago) if state.disabled.is_enabled(Mechanism::OutageGrace) => {
             state.roster.borrow_mut().doubt(now.checked_sub(ago).unwrap_or(now));
         }
@@ -248,10 +248,10 @@
     let changes = update.items.unpack().map_err(garbled)?;
     if let Some(base) = update.base {
         let all = base.items.unpack().map_err(garbled)?;
-        let items = state.replica.borrow_mut().replace(all, base.at);
+        let items = state.replica.borrow_mut().replace(all, base.position);
         apply_items(state, items);
     }
-    let items = state.replica.borrow_mut().apply(changes, update.at);
+    let items = state.replica.borrow_mut().apply(changes, update.position);
     apply_items(state, items);
     state.loaded.set(true);
     let Some(age) = update.age_ms.map(|age| Duration::from_millis(age.into())) else {
@@ -261,7 +261,7 @@
     };
     confirm_freshness(
         state,
-        proof::from_peer(asked, Duration::from_millis(update.held_ms.into()), age),
+        proof::from_peer(asked, Duration::from_millis(update.waited_ms.into()), age),
     );
     if age > MAX_PEER_PROOF_AGE {
         log::debug!(
--- a/components/forward/src/gossip.rs
+++ b/components/forward/src/gossip.rs
@@ -229,7 +229,7 @@
     summary = limits::add_to_summary(state, (&limits, limits_known), known, summary, permits);
     summary.pause_ms = state.gossip.pace.borrow().pause(aggregate.node_count()).as_millis() as u32;
     let body = summary.encode();
-    if !from_seed && !summary.whole {
+    if !from_seed && !summary.complete {
         state.gossip.pace.borrow_mut().record_answer(body.len());
     }
     Response::build(StatusCode::OK).body(body).map_into_boxed_body()
@@ -250,11 +250,11 @@
     let to_report = |mut load: Load| {
         let slots =
             registry.server_by_wire_key(load.server).and_then(|server| scheduler.slots(server));
-        let occupied: u32 = load.taken.iter().sum();
+        let occupied: u32 = load.occupied.iter().sum();
         if f64::from(occupied) < f64::from(slots.unwrap_or_default()) * CROWDED_PART {
-            load.taken.clear();
+            load.occupied.clear();
         }
-        let amounts = [&load.reading_ms, &load.overdue_ms, &load.taken];
+        let amounts = [&load.prefill_ms, &load.overdue_ms, &load.occupied];
         amounts.iter().any(|amounts| !amounts.is_empty()).then_some(load)
     };
     let mut aggregate = state.gossip.aggregate.borrow_mut();
@@ -281,10 +281,10 @@
     let load = |backlog: Backlog| {
         Some(Load {
             server: wire::key(&registry.server(backlog.server)?.name),
-            reading_ms: to_whole_units(&backlog.prefill, MS_PER_S),
+            prefill_ms: to_whole_units(&backlog.prefill, MS_PER_S),
             overdue_ms: to_whole_units(&backlog.overdue, MS_PER_S),
-            taken: to_whole_units(&backlog.occupied, 1.0),
-            begun_ms: backlog
+            occupied: to_whole_units(&backlog.occupied, 1.0),
+            first_token_age_ms: backlog
                 .since_first_token
                 .map(|age| age.as_millis().try_into().unwrap_or(u32::MAX)),
         })
@@ -334,10 +334,10 @@
     let backlog = |load: &Load| {
         Some(Backlog {
             server: registry.server_by_wire_key(load.server)?,
-            prefill: load.reading_ms.iter().map(seconds).collect(),
+            prefill: load.prefill_ms.iter().map(seconds).collect(),
             overdue: load.overdue_ms.iter().map(seconds).collect(),
-            occupied: load.taken.iter().map(|slots| f64::from(*slots)).collect(),
-            since_first_token: load.begun_ms.map(|ms| Duration::from_millis(ms.into())),
+            occupied: load.occupied.iter().map(|slots| f64::from(*slots)).collect(),
+            since_first_token: load.first_token_age_ms.map(|ms| Duration::from_millis(ms.into())),
         })
     };
     let backlogs: Vec<_> = loads.iter().filter_map(backlog).collect();
--- a/components/forward/src/gossip/limits.rs
+++ b/components/forward/src/gossip/limits.rs
@@ -35,7 +35,7 @@
         return;
     }
     let now = state.clock.now();
-    cursor.record_answer(summary.at.boot, summary.limits_at);
+    cursor.record_answer(summary.position.boot, summary.limits_version);
     let before = state.rate_limits.throttle.borrow().version();
     limits::merge_reported(state, summary.limits.iter().filter_map(|limit| from_wire(limit, now)));
     cursor.skip_learned(before, state.rate_limits.throttle.borrow().version());
@@ -53,9 +53,9 @@
 ) -> Summary {
     let now = state.clock.now();
     limits::merge_reported(state, reported.iter().filter_map(|limit| from_wire(limit, now)));
-    let known = at.filter(|at| at.boot == summary.at.boot).map_or(0, |_| known);
-    let (limits, limits_at) = state.rate_limits.throttle.borrow().changes_since(known);
-    Summary { limits: to_wire(&limits, now), limits_at, permits, ..summary }
+    let known = at.filter(|at| at.boot == summary.position.boot).map_or(0, |_| known);
+    let (limits, limits_version) = state.rate_limits.throttle.borrow().changes_since(known);
+    Summary { limits: to_wire(&limits, now), limits_version, permits, ..summary }
 }
 
 /// Limits in the form in which they are sent. Times are sent as ages, since the clocks of nodes differ.
--- a/components/forward/src/gossip/suspects.rs
+++ b/components/forward/src/gossip/suspects.rs
@@ -32,7 +32,7 @@
 
 /// Merges the evidence in a seed's answer.
 pub(super) fn apply_summary<A: Adapter>(state: &State<A>, cursor: &mut Cursor, summary: &Summary) {
-    cursor.record_answer(summary.at.boot, summary.suspects_at);
+    cursor.record_answer(summary.position.boot, summary.suspects_version);
     let mut quarantine = state.crashes.quarantine.borrow_mut();
     let before = quarantine.version();
     merge_evidence(&mut quarantine, &summary.suspects, state.clock.now());
@@ -50,11 +50,11 @@
     let now = state.clock.now();
     let mut quarantine = state.crashes.quarantine.borrow_mut();
     merge_evidence(&mut quarantine, suspects, now);
-    let known = at.filter(|at| at.boot == summary.at.boot).map_or(0, |_| known);
+    let known = at.filter(|at| at.boot == summary.position.boot).map_or(0, |_| known);
     let min_crashes = if from_seed { 1 } else { NODE_THRESHOLD };
-    let (evidence, suspects_at) = quarantine.changes_since(known, min_crashes);
+    let (evidence, suspects_version) = quarantine.changes_since(known, min_crashes);
     let suspects = evidence.iter().map(|evidence| to_wire(evidence, now)).collect();
-    Summary { suspects, suspects_at, ..summary }
+    Summary { suspects, suspects_version, ..summary }
 }
 
 fn merge_evidence(quarantine: &mut Quarantine, suspects: &[Suspect], now: Instant) {
@@ -72,7 +72,7 @@
         u32::try_from(age).unwrap_or(u32::MAX)
     };
     let crash = |crash: &Crash| gossip::Crash {
-        server: crash.instance,
+        instance: crash.instance,
         sent_ms: age(crash.sent),
         crashed_ms: age(crash.at),
     };
@@ -88,7 +88,7 @@
     let at = |ms: u32| now.checked_sub(Duration::from_millis(ms.into()));
     let crash = |crash: &gossip::Crash| {
         let (sent, at) = (at(crash.sent_ms)?, at(crash.crashed_ms)?);
-        Some(Crash { instance: crash.server, sent, at })
+        Some(Crash { instance: crash.instance, sent, at })
     };
     let crashes = suspect.crashes.iter().map(crash).collect::<Option<_>>()?;
     let completed = suspect.completed_ms.and_then(at);
--- a/components/forward/src/gossip/table.rs
+++ b/components/forward/src/gossip/table.rs
@@ -64,8 +64,9 @@
     /// The load at a later time: the age of the last begun answer has grown.
     fn load_at(&self, now: Instant) -> Load {
         let age = now.saturating_duration_since(self.at).as_millis() as u32;
-        let begun_ms = self.load.begun_ms.map(|begun| begun.saturating_add(age));
-        Load { begun_ms, ..self.load.clone() }
+        let first_token_age_ms =
+            self.load.first_token_age_ms.map(|begun| begun.saturating_add(age));
+        Load { first_token_age_ms, ..self.load.clone() }
     }
 }
 
@@ -79,21 +80,21 @@
         let at = |list: &[u32], priority: usize| list.get(priority).copied().unwrap_or(0);
         (0..a.len().max(b.len())).any(|priority| differs(at(a, priority), at(b, priority)))
     };
-    let begun = match (reported.begun_ms, new.begun_ms) {
+    let begun = match (reported.first_token_age_ms, new.first_token_age_ms) {
         (Some(reported), Some(new)) => reported >= new.saturating_add(BEGUN_STEP_MS),
         (reported, new) => reported.is_none() && new.is_some(),
     };
     begun
-        || any_differs(&reported.reading_ms, &new.reading_ms, &noticeable)
+        || any_differs(&reported.prefill_ms, &new.prefill_ms, &noticeable)
         || any_differs(&reported.overdue_ms, &new.overdue_ms, &|a, b| step(a) != step(b))
-        || any_differs(&reported.taken, &new.taken, &|a, b| a != b)
+        || any_differs(&reported.occupied, &new.occupied, &|a, b| a != b)
 }
 
 impl Table {
     /// Updates the rows of engines whose sums differ noticeably. An engine without a sum has no load.
     pub(crate) fn update(&mut self, mut sums: HashMap<u32, Load>, now: Instant) {
         for server in self.rows.keys() {
-            sums.entry(*server).or_insert_with(|| Load::none(*server));
+            sums.entry(*server).or_insert_with(|| Load::empty(*server));
         }
         let next = self.version + 1;
         for (server, load) in sums {
@@ -110,7 +111,7 @@
     fn drop_empty_rows(&mut self, now: Instant) {
         let floor = &mut self.floor;
         self.rows.retain(|_, row| {
-            let dropped = row.load.is_none() && now >= row.at + EMPTY_ROW_LIFETIME;
+            let dropped = row.load.is_empty() && now >= row.at + EMPTY_ROW_LIFETIME;
             *floor = (*floor).max(if dropped { row.version } else { 0 });
             !dropped
         });
@@ -138,13 +139,19 @@
     /// Changes after a version; the whole table if there is none.
     pub(crate) fn changes_since(&self, version: Option<u64>, now: Instant) -> Summary {
         let after = version.unwrap_or(0);
-        let whole = version.is_none();
+        let complete = version.is_none();
         let rows = self.rows.values().filter(|row| row.version > after);
-        let rows = rows.map(|row| row.load_at(now)).filter(|load| !whole || !load.is_none());
+        let rows = rows.map(|row| row.load_at(now)).filter(|load| !complete || !load.is_empty());
         let first = self.parts.partition_point(|cached| cached.version <= after);
         let parts = self.parts.range(first..).map(|cached| cached.part);
-        let at = Position { boot: 0, version: self.version };
-        Summary { at, whole, loads: rows.collect(), parts: parts.collect(), ..Summary::default() }
+        let position = Position { boot: 0, version: self.version };
+        Summary {
+            position,
+            complete,
+            loads: rows.collect(),
+            parts: parts.collect(),
+            ..Summary::default()
+        }
     }
 }
 
@@ -168,18 +175,18 @@
 
     /// Applies the changes in a seed's answer.
     pub(crate) fn apply(&mut self, summary: Summary, now: Instant) {
-        if summary.whole {
+        if summary.complete {
             self.rows.clear();
         }
         for load in summary.loads {
-            if load.is_none() {
+            if load.is_empty() {
                 self.rows.remove(&load.server);
                 continue;
             }
-            let row = Row { load, version: summary.at.version, at: now };
+            let row = Row { load, version: summary.position.version, at: now };
             self.rows.insert(row.load.server, row);
         }
-        self.position = Some(summary.at);
+        self.position = Some(summary.position);
         (self.sends, self.included, self.received) = (summary.sends, summary.included, Some(now));
     }
 
@@ -222,10 +229,10 @@
         if let Some((_, loads, own)) = included {
             for load in loads {
                 if let Some(sum) = sums.get_mut(&load.server) {
-                    sum.remove(load);
+                    sum.subtract(load);
                 }
             }
-            wire::gossip::merge(&mut sends, own, u32::saturating_sub);
+            wire::gossip::merge_amounts(&mut sends, own, u32::saturating_sub);
         }
         (sums.into_values().collect(), sends)
     }
@@ -320,7 +327,7 @@
         let (mut sums, mut sends) = (HashMap::new(), vec![]);
         for report in self.nodes.values() {
             add_loads(&mut sums, report.loads.iter().cloned());
-            wire::gossip::merge(&mut sends, &report.sends, u32::saturating_add);
+            wire::gossip::merge_amounts(&mut sends, &report.sends, u32::saturating_add);
         }
         self.included =
             self.nodes.iter().map(|(name, report)| (name.clone(), report.number)).collect();
@@ -328,7 +335,7 @@
         self.sends[0] = sends.clone();
         for view in self.seeds.values() {
             add_loads(&mut sums, view.loads(now));
-            wire::gossip::merge(&mut sends, &view.sends, u32::saturating_add);
+            wire::gossip::merge_amounts(&mut sends, &view.sends, u32::saturating_add);
         }
         let loads = sums.into_values().filter_map(filter);
         self.fleet.update(loads.map(|load| (load.server, load)).collect(), now);
@@ -362,7 +369,7 @@
     ) -> Summary {
         let known = known.filter(|known| known.boot == self.boot && known.version >= table.floor);
         let mut summary = table.changes_since(known.map(|known| known.version), now);
-        summary.at.boot = self.boot;
+        summary.position.boot = self.boot;
         Summary { sends: sends.to_vec(), ..summary }
     }
 }
@@ -370,7 +377,7 @@
 /// Adds loads to the sums of their engines.
 fn add_loads(sums: &mut HashMap<u32, Load>, loads: impl Iterator<Item = Load>) {
     for load in loads {
-        sums.entry(load.server).or_insert_with(|| Load::none(load.server)).add(&load);
+        sums.entry(load.server).or_insert_with(|| Load::empty(load.server)).add(&load);
     }
 }
 
--- a/components/forward/src/gossip/table/tests.rs
+++ b/components/forward/src/gossip/table/tests.rs
@@ -55,7 +55,7 @@
 }
 
 fn load(server: u32, prefill_ms: u32, occupied: u32) -> Load {
-    Load { reading_ms: vec![prefill_ms], taken: vec![occupied], ..Load::none(server) }
+    Load { prefill_ms: vec![prefill_ms], occupied: vec![occupied], ..Load::empty(server) }
 }
 
 /// A node subtracts its own report from the sums. Otherwise it would count its own prompts twice, and send its
@@ -122,7 +122,7 @@
     let first = seed.fleet_summary("c", None, now);
     assert_eq!(first.parts, [(7, 1), (7, 2)]);
     seed.add_report(report("b"), now + PAUSE);
-    assert!(seed.fleet_summary("c", Some(first.at), now + PAUSE).parts.is_empty());
+    assert!(seed.fleet_summary("c", Some(first.position), now + PAUSE).parts.is_empty());
 }
 
 /// The load of other seeds' clusters is included while these seeds answer, and dropped once they don't.
@@ -200,16 +200,16 @@
                 let others = nodes.iter().enumerate().filter(|(other, _)| *other != index);
                 let loads = others.flat_map(|(_, node)| &node.loads);
                 let loads: Vec<_> = loads.filter(|load| load.server == server).collect();
-                let prefill_ms: u32 = loads.iter().map(|load| load.reading_ms[0]).sum();
-                let occupied: u32 = loads.iter().map(|load| load.taken[0]).sum();
-                let none = Load::none(server);
+                let prefill_ms: u32 = loads.iter().map(|load| load.prefill_ms[0]).sum();
+                let occupied: u32 = loads.iter().map(|load| load.occupied[0]).sum();
+                let none = Load::empty(server);
                 let found = known.get(&server).unwrap_or(&none);
                 let at = |list: &[u32]| list.first().copied().unwrap_or(0);
                 let own = nodes[index].loads.iter().find(|load| load.server == server);
-                let all = prefill_ms + own.map_or(0, |load| load.reading_ms[0]);
+                let all = prefill_ms + own.map_or(0, |load| load.prefill_ms[0]);
                 let slack = NOTICEABLE_MS.max(all / NOTICEABLE_DIVISOR * 2);
-                prop_assert!(at(&found.reading_ms).abs_diff(prefill_ms) <= slack, "{found:?}, {prefill_ms}");
-                prop_assert_eq!(at(&found.taken), occupied);
+                prop_assert!(at(&found.prefill_ms).abs_diff(prefill_ms) <= slack, "{found:?}, {prefill_ms}");
+                prop_assert_eq!(at(&found.occupied), occupied);
             }
         }
     }
@@ -219,7 +219,7 @@
     fn an_unknown_position_is_answered_with_the_whole_table(boot in 2..9_u32, version in any::<u64>()) {
         let seed = Aggregate::new(1);
         let known = Some(Position { boot, version });
-        prop_assert!(seed.fleet_summary("a", known, Instant::now()).whole);
+        prop_assert!(seed.fleet_summary("a", known, Instant::now()).complete);
     }
 }
 
@@ -232,7 +232,7 @@
     let mut reports = 0;
     for ms in 0..DELAY_STEP_MS * 3 {
         now += REFRESH_INTERVAL;
-        a.loads = vec![Load { overdue_ms: vec![ms], ..Load::none(7) }];
+        a.loads = vec![Load { overdue_ms: vec![ms], ..Load::empty(7) }];
         let before = a.view.position();
         a.report_to(&mut seed, false, now);
         reports += u32::from(a.view.position() != before);
--- a/components/forward/src/replica.rs
+++ b/components/forward/src/replica.rs
@@ -96,15 +96,16 @@
 
     /// All items as a packed base, and the changes since it was packed.
     pub(crate) fn snapshot(&mut self) -> (Base, Items) {
-        let recent = |base: &&Base| self.items_after(base.at).count() <= MAX_CHANGES_SINCE_BASE;
+        let recent =
+            |base: &&Base| self.items_after(base.position).count() <= MAX_CHANGES_SINCE_BASE;
         if let Some(base) = self.base.as_ref().filter(recent).cloned()
-            && let Some(newer) = self.changes_since(base.at)
+            && let Some(newer) = self.changes_since(base.position)
         {
             return (base, newer);
         }
         let live: Vec<_> =
             self.items.values().filter(|item| item.value.is_some()).cloned().collect();
-        let base = Base { at: self.position.unwrap_or_default(), items: Items::pack(&live) };
+        let base = Base { position: self.position.unwrap_or_default(), items: Items::pack(&live) };
         self.base = Some(base.clone());
         (base, Items::default())
     }
--- a/components/forward/src/replica/tests.rs
+++ b/components/forward/src/replica/tests.rs
@@ -60,13 +60,13 @@
     assert_eq!(base, first, "the base was packed again for two changes");
     assert_eq!(newer.unpack().unwrap(), [deleted("s7", 4), item("s8", 5)]);
     let mut other = Replica::default();
-    other.replace(base.items.unpack().unwrap(), base.at);
+    other.replace(base.items.unpack().unwrap(), base.position);
     other.apply(newer.unpack().unwrap(), 5);
     assert_eq!(other.changes_since(3), replica.changes_since(3));
     let many = (0..=MAX_CHANGES_SINCE_BASE).map(|n| item(&format!("s{n}"), 6)).collect();
     replica.apply(many, 6);
     let (base, newer) = replica.snapshot();
-    assert_eq!((base.at, newer.unpack().unwrap().len()), (6, 0));
+    assert_eq!((base.position, newer.unpack().unwrap().len()), (6, 0));
 }
 
 /// The store dropped its history, and a server was deleted meanwhile. Whatever is missing from the complete
--- a/components/forward/src/updates.rs
+++ b/components/forward/src/updates.rs
@@ -188,14 +188,14 @@
     };
     let now = state.clock.now();
     let update = Update {
-        at: state.replica.borrow().position().unwrap_or_default(),
+        position: state.replica.borrow().position().unwrap_or_default(),
         base,
-        unknown: items.is_none(),
+        history_lost: items.is_none(),
         items: items.unwrap_or_default(),
         age_ms: state.proof_age_ms().map(|age| age.try_into().unwrap_or(u32::MAX)),
-        held_ms: state.clock.awake().saturating_sub(asked).as_millis() as u32,
-        lost: state.store_failures.get() > 0,
-        returned_ms: state.roster.borrow().returned(now).map(|ago| ago.as_millis() as u32),
+        waited_ms: state.clock.awake().saturating_sub(asked).as_millis() as u32,
+        store_lost: state.store_failures.get() > 0,
+        store_returned_ms: state.roster.borrow().returned(now).map(|ago| ago.as_millis() as u32),
         work: state.fleet_work(),
     };
     let mut response = Response::build(StatusCode::OK);
--- a/components/router/src/cells.rs
+++ b/components/router/src/cells.rs
@@ -129,7 +129,7 @@
     let rows: Vec<_> = last.flat_map(|last| &last.demand).chain(&own.demand).copied().collect();
     let servers = cells.servers().filter_map(|(_, key)| settings.servers.get(key));
     let slots: u32 = servers.map(|server| server.slots).sum();
-    let sent: u32 = rows.iter().map(|row| row.sent).sum();
+    let sent: u32 = rows.iter().map(|row| row.in_flight).sum();
     let ranks: BTreeSet<u8> = settings.classes.values().map(|class| class.rank).collect();
     let sum = |tier: u8| wire::Cell {
         cell: cells.own(),
--- a/components/router/src/keyed.rs
+++ b/components/router/src/keyed.rs
@@ -14,7 +14,7 @@
 use idempotency::{CallKey, Member, Record, StoredAnswer};
 use life::{Admitted, Outcome, Reason, Sending, Unsent, Waiting};
 use settings::Effective;
-use wire::Keyed;
+use wire::KeyedCall;
 
 use crate::answer::{self, Answer, Error, OUTCOME, STREAMING};
 use crate::claim::Claim;
@@ -146,7 +146,7 @@
     owner: &Member,
     left: Duration,
 ) -> Call {
-    let keyed = Keyed {
+    let keyed = KeyedCall {
         id: id.to_string(),
         key: key.to_string(),
         workspace: parcel.workspace.clone(),
@@ -283,14 +283,14 @@
     let settings = state.settings()?;
     let all = listen::whole(&mut request, settings.limits.max_body + ROOM);
     let body = tokio::time::timeout(settings.limits.body_time, all).await.ok()?.ok()?;
-    let keyed = Keyed::decode(&body).ok()?;
+    let keyed = KeyedCall::decode(&body).ok()?;
     let key = ids::Request::parse(&keyed.key).ok()?;
     Some((job(state, &settings, keyed, key)?, key))
 }
 
 /// The call by this node's settings; none if they don't know of its class, workspace or model, or
 /// hold it idempotent.
-fn job(state: &State, settings: &Effective, keyed: Keyed, key: ids::Request) -> Option<Job> {
+fn job(state: &State, settings: &Effective, keyed: KeyedCall, key: ids::Request) -> Option<Job> {
     let class_key = settings.class_names.key(&keyed.class)?;
     let class = settings.classes.get(class_key).filter(|class| !class.idempotent)?.clone();
     let workspace = settings.workspace_names.key(&keyed.workspace)?;
--- a/components/router/src/peers.rs
+++ b/components/router/src/peers.rs
@@ -9,7 +9,7 @@
 use policy::Scheduler;
 use settings::Effective;
 use subtle::ConstantTimeEq;
-use wire::{Demand, Frame, Sent};
+use wire::{Demand, Frame, InFlight};
 
 use crate::answer::Answer;
 use crate::revisions;
@@ -82,8 +82,9 @@
     let settings = state.settings();
     let scheduler = state.turns.scheduler.borrow();
     let cells = state.cells.borrow();
-    let counts =
-        cells.servers().map(|(server, key)| Sent { server, count: scheduler.in_flight_at(key) });
+    let counts = cells
+        .servers()
+        .map(|(server, key)| InFlight { key: server, count: scheduler.in_flight_at(key) });
     let mut demand: Vec<Demand> = vec![];
     for work in scheduler.demand() {
         let class = settings.as_ref().and_then(|settings| settings.classes.get(work.class));
@@ -91,12 +92,12 @@
         let row = match demand.iter_mut().find(|row| row.tier == tier) {
             Some(row) => row,
             None => {
-                demand.push(Demand { tier, waiting: 0, sent: 0 });
+                demand.push(Demand { tier, waiting: 0, in_flight: 0 });
                 demand.last_mut().expect("just pushed")
             }
         };
         row.waiting += work.waiting;
-        row.sent += work.sent;
+        row.in_flight += work.sent;
     }
     Own {
         name: state.node.name.clone(),
@@ -115,9 +116,9 @@
     }
 }
 
-fn waits(settings: Option<&Effective>, scheduler: &Scheduler) -> Vec<wire::Wait> {
+fn waits(settings: Option<&Effective>, scheduler: &Scheduler) -> Vec<wire::Queued> {
     let Some(settings) = settings else { return vec![] };
-    let row = |wait: policy::Wait| wire::Wait {
+    let row = |wait: policy::Wait| wire::Queued {
         model: wire::key(settings.model_names.name(wait.model)),
         tier: wait.tier,
         count: wait.count,
@@ -125,12 +126,12 @@
     scheduler.waits_by_model().into_iter().map(row).collect()
 }
 
-fn workspaces(settings: Option<&Effective>, scheduler: &Scheduler) -> Vec<Sent> {
+fn workspaces(settings: Option<&Effective>, scheduler: &Scheduler) -> Vec<InFlight> {
     let all = settings.iter().flat_map(|settings| &settings.workspaces);
     let limited = all.filter(|(_, workspace)| workspace.in_flight < u32::MAX);
     let counts = limited.map(|(key, workspace)| (workspace, scheduler.in_flight(key)));
     let busy = counts.filter(|(_, count)| *count > 0);
-    busy.map(|(workspace, count)| Sent { server: wire::key(&workspace.name), count }).collect()
+    busy.map(|(workspace, count)| InFlight { key: wire::key(&workspace.name), count }).collect()
 }
 
 fn frame(state: &State, to: &str) -> Frame {
--- a/components/wire/src/form.rs
+++ b/components/wire/src/encoding.rs
@@ -1,18 +1,18 @@
-//! How messages and their rows are written.
+//! Implements the encoding of messages and of the rows in their lists.
 
-/// Gives messages their form on the wire.
+/// Implements `encode` and `decode` for messages.
 macro_rules! messages {
     ($($name:ident),*) => {$(
         impl $name {
-            /// The message as bytes.
+            /// Encodes the message as MessagePack.
             pub fn encode(&self) -> Vec<u8> {
                 rmp_serde::to_vec_named(self).expect("a message has only plain fields")
             }
 
-            /// Reads a message.
+            /// Decodes a message from MessagePack.
             ///
             /// # Errors
-            /// When the bytes aren't one.
+            /// When the bytes aren't a message of this type.
             pub fn decode(bytes: &[u8]) -> Result<Self, $crate::Error> {
                 Ok(rmp_serde::from_slice(bytes)?)
             }
@@ -20,7 +20,8 @@
     )*};
 }
 
-/// A row of a list: a struct here, an array on the wire, which is half as long as a map.
+/// Defines a row of a list: a struct in Rust, and on the wire an array of its fields by position,
+/// which is half as long as a map.
 macro_rules! row {
     (
         $(#[$meta:meta])*
--- a/components/wire/src/gossip.rs
+++ b/components/wire/src/gossip.rs
@@ -1,151 +1,155 @@
-//! What nodes report to each other of the engines that they use: their prompts there, the places that
-//! these take, and what the prefix caches hold.
+//! Messages in which nodes report their load at engines to each other: outstanding prefill, occupied
+//! slots, and the content of prefix caches.
 
 use serde::{Deserialize, Serialize};
 
 derives::data! {
-    /// A position in the table of one seed.
+    /// A position in the history of one seed's table.
     #[derive(Copy, Default, Eq, Serialize, Deserialize)]
     pub struct Position {
-        /// Random number of the seed's process; a seed that starts anew has another.
+        /// Random number that identifies the seed's process; it differs after a restart.
         #[serde(rename = "b")]
         pub boot: u32,
-        /// Version of its table up to which all is known.
+        /// Version of the table up to which all changes are known.
         #[serde(rename = "v")]
         pub version: u64,
     }
 
-    /// A node reports its own requests to a seed, and asks for what changed at all others.
+    /// A node's report of its own requests to a seed, and its question for changes at all other nodes.
     #[derive(Default, Serialize, Deserialize)]
     pub struct Report {
         /// Name of the node.
         #[serde(rename = "f")]
         pub from: String,
-        /// Number of the report within the node's process.
+        /// Number of the report, counted from the start of the node's process.
         #[serde(rename = "n", default)]
         pub number: u32,
-        /// What the node has of this seed's table; none if nothing.
+        /// Position up to which the node knows this seed's table; none if it knows nothing of it.
         #[serde(rename = "k", default)]
         pub known: Option<Position>,
-        /// Engines that its requests are at; all of them.
+        /// Load at every engine at which the node has requests.
         #[serde(rename = "l", default)]
         pub loads: Vec<Load>,
-        /// Parts of prompts that engines were seen to cache of late: the key of the engine's name, and
+        /// Parts of prompts that engines recently cached: the key of the engine's name, and the hash of
         /// the part.
         #[serde(rename = "p", default)]
         pub parts: Vec<(u32, u64)>,
-        /// Requests that are sent to engines in ten seconds, by rank of urgency.
+        /// Number of requests that the node sends to engines in ten seconds, by priority.
         #[serde(rename = "s", default)]
         pub sends: Vec<u32>,
-        /// Requests that servers crashed under, as far as the seed may not know of them.
+        /// Requests during which servers crashed, if the seed may not know them.
         #[serde(rename = "c", default, skip_serializing_if = "Vec::is_empty")]
         pub suspects: Vec<Suspect>,
-        /// Version up to which the node knows those of the seed.
+        /// Version up to which the node knows the seed's suspects.
         #[serde(rename = "q", default, skip_serializing_if = "is_zero")]
         pub suspects_known: u64,
-        /// Rate limits that servers named, as far as the seed may not know of them.
+        /// Rate limits that servers stated, if the seed may not know them.
         #[serde(rename = "r", default, skip_serializing_if = "Vec::is_empty")]
         pub limits: Vec<Limit>,
-        /// Version up to which the node knows those of the seed.
+        /// Version up to which the node knows the seed's rate limits.
         #[serde(rename = "m", default, skip_serializing_if = "is_zero")]
         pub limits_known: u64,
     }
 
-    /// What changed in a seed's table since the position that was asked for.
+    /// Changes in a seed's table since the position in the report.
     #[derive(Default, Serialize, Deserialize)]
     pub struct Summary {
-        /// Time to let pass before the next report, in milliseconds.
+        /// Time to wait before the next report, in milliseconds.
         #[serde(rename = "w", default)]
         pub pause_ms: u32,
-        /// Position up to which it tells.
+        /// Position up to which the summary contains all changes.
         #[serde(rename = "k")]
-        pub at: Position,
-        /// It tells all there is, and what isn't named has nothing to tell.
+        pub position: Position,
+        /// Whether this is the complete table: engines that aren't in it have no load.
         #[serde(rename = "a", default)]
-        pub whole: bool,
-        /// Number of the asking node's report that is contained in the sums; none if none is.
+        pub complete: bool,
+        /// Number of the asking node's latest report that the sums include; none if they include none.
         #[serde(rename = "n", default)]
         pub included: Option<u32>,
-        /// Sums over all nodes at engines where they changed; an empty one has nothing any more.
+        /// Sums over all nodes, for engines at which they changed; an empty one means that no load is
+        /// left.
         #[serde(rename = "l", default)]
         pub loads: Vec<Load>,
-        /// Parts of prompts that engines were seen to cache since.
+        /// Parts of prompts that engines cached since the position.
         #[serde(rename = "p", default)]
         pub parts: Vec<(u32, u64)>,
-        /// Requests that all nodes send to engines in ten seconds, by rank of urgency.
+        /// Number of requests that all nodes send to engines in ten seconds, by priority.
         #[serde(rename = "s", default)]
         pub sends: Vec<u32>,
-        /// Requests that servers crashed under, as far as the node may not know of them.
+        /// Requests during which servers crashed, if the node may not know them.
         #[serde(rename = "c", default, skip_serializing_if = "Vec::is_empty")]
         pub suspects: Vec<Suspect>,
-        /// Version up to which it tells of those.
+        /// Version up to which the summary contains the suspects.
         #[serde(rename = "q", default, skip_serializing_if = "is_zero")]
-        pub suspects_at: u64,
-        /// Rate limits that servers named, as far as the node may not know of them.
+        pub suspects_version: u64,
+        /// Rate limits that servers stated, if the node may not know them.
         #[serde(rename = "r", default, skip_serializing_if = "Vec::is_empty")]
         pub limits: Vec<Limit>,
-        /// Version up to which it tells of those.
+        /// Version up to which the summary contains the rate limits.
         #[serde(rename = "m", default, skip_serializing_if = "is_zero")]
-        pub limits_at: u64,
-        /// Requests that the node may send to servers with a limit: the key of the server's name, and how
-        /// many.
+        pub limits_version: u64,
+        /// Permits for requests to servers with a rate limit: the key of the server's name, and the number
+        /// of requests that the node may send.
         #[serde(rename = "g", default, skip_serializing_if = "Vec::is_empty")]
         pub permits: Vec<(u32, u32)>,
     }
 
-    /// A request that servers crashed under. An array on the wire.
+    /// A request during which servers crashed. An array on the wire.
     #[derive(Default, Eq, Serialize, Deserialize)]
     #[serde(from = "SuspectRow", into = "SuspectRow")]
     pub struct Suspect {
-        /// Hash of what it asks.
+        /// Hash of the request's content.
         pub content: u64,
-        /// Servers that crashed while they ran it.
+        /// Crashes of servers while they ran the request.
         pub crashes: Vec<Crash>,
-        /// Milliseconds since it last got a whole answer; none if it never did.
+        /// Milliseconds since the request last got a complete answer; none if it never did.
         pub completed_ms: Option<u32>,
     }
 
-    /// Prompts at one engine. An array on the wire, as there are many of them.
+    /// Outstanding requests at one engine. An array on the wire, because messages contain many of them.
     #[derive(Default, Eq, Serialize, Deserialize)]
     #[serde(from = "Row", into = "Row")]
     pub struct Load {
-        /// Key of the engine's name, as by [`crate::key`].
+        /// [`crate::key`] of the engine's name.
         pub server: u32,
-        /// Milliseconds that prompts take to read, by rank of urgency; what is left out is nothing.
-        pub reading_ms: Vec<u32>,
-        /// Milliseconds by which one of them waits for longer than is usual, by rank of urgency.
+        /// Milliseconds of prefill of the outstanding prompts, by priority; priorities beyond the end of
+        /// the list have none.
+        pub prefill_ms: Vec<u32>,
+        /// Milliseconds by which the first token of one of the requests is overdue, by priority.
         pub overdue_ms: Vec<u32>,
-        /// Places that they take or wait for, by rank of urgency.
-        pub taken: Vec<u32>,
-        /// Milliseconds since the engine was last seen to begin an answer; none if it wasn't of late.
-        pub begun_ms: Option<u32>,
+        /// Slots that the requests occupy or wait for, by priority.
+        pub occupied: Vec<u32>,
+        /// Milliseconds since the last first token from the engine; none if there was no recent one.
+        pub first_token_age_ms: Option<u32>,
     }
 }
 
 row! {
-    /// A server crashed while it ran a request.
+    /// A crash of a server while it ran a request.
     pub struct Crash {
-        /// Key of this start of the server, as by [`crate::key`].
-        pub server: u32,
-        /// Milliseconds since the request was sent to it.
+        /// [`crate::key`] of the server's instance, which differs after each of its starts.
+        pub instance: u32,
+        /// Milliseconds since the request was sent to the server.
         pub sent_ms: u32,
-        /// Milliseconds since it crashed.
+        /// Milliseconds since the server crashed.
         pub crashed_ms: u32,
     }
 }
 
 row! {
-    /// A rate limit that a server named.
+    /// A rate limit that a server stated.
     pub struct Limit {
-        /// Key of the server's name, as by [`crate::key`].
+        /// [`crate::key`] of the server's name.
         pub server: u32,
-        /// Requests in 1,000 seconds that it takes from all nodes; none if it no longer names a limit.
+        /// Number of requests in 1,000 seconds that the server accepts from all nodes; none if it no longer
+        /// states a limit.
         pub rate: Option<u32>,
-        /// Milliseconds since a node received that.
+        /// Milliseconds since a node received the statement.
         pub age_ms: u32,
     }
 }
 
+/// A [`Suspect`] on the wire: its fields by position.
 type SuspectRow = (u64, Vec<Crash>, Option<u32>);
 
 impl From<SuspectRow> for Suspect {
@@ -164,84 +168,88 @@
     *number == 0
 }
 
+/// A [`Load`] on the wire: its fields by position.
 type Row = (u32, Vec<u32>, Vec<u32>, Vec<u32>, Option<u32>);
 
 impl From<Row> for Load {
-    fn from((server, reading_ms, overdue_ms, taken, begun_ms): Row) -> Self {
-        Load { server, reading_ms, overdue_ms, taken, begun_ms }
+    fn from((server, prefill_ms, overdue_ms, occupied, first_token_age_ms): Row) -> Self {
+        Load { server, prefill_ms, overdue_ms, occupied, first_token_age_ms }
     }
 }
 
 impl From<Load> for Row {
     fn from(load: Load) -> Self {
-        (load.server, load.reading_ms, load.overdue_ms, load.taken, load.begun_ms)
+        (load.server, load.prefill_ms, load.overdue_ms, load.occupied, load.first_token_age_ms)
     }
 }
 
 impl Load {
-    /// Nothing at an engine.
+    /// No outstanding requests at an engine.
     ///
     /// ```
-    /// assert!(wire::gossip::Load::none(7).is_none());
+    /// assert!(wire::gossip::Load::empty(7).is_empty());
     /// ```
-    pub fn none(server: u32) -> Self {
+    pub fn empty(server: u32) -> Self {
         Load { server, ..Load::default() }
     }
 
-    /// Whether there is nothing at the engine.
-    pub fn is_none(&self) -> bool {
-        *self == Load::none(self.server)
+    /// Whether there are no outstanding requests at the engine.
+    pub fn is_empty(&self) -> bool {
+        *self == Load::empty(self.server)
     }
 
-    /// Adds what other nodes have at the same engine, and know of it.
+    /// Adds the load of other nodes at the same engine: amounts are summed, and of the delays and the
+    /// ages of the last first token the longest delay and the smallest age remain.
     ///
     /// ```
     /// use wire::gossip::Load;
     ///
-    /// let load = |reading: &[u32], overdue: &[u32], begun_ms| Load {
+    /// let load = |prefill: &[u32], overdue: &[u32], first_token_age_ms| Load {
     ///     server: 7,
-    ///     reading_ms: reading.to_vec(),
+    ///     prefill_ms: prefill.to_vec(),
     ///     overdue_ms: overdue.to_vec(),
-    ///     taken: vec![1],
-    ///     begun_ms,
+    ///     occupied: vec![1],
+    ///     first_token_age_ms,
     /// };
     /// let mut sum = load(&[5], &[40], Some(90));
     /// sum.add(&load(&[1, 2], &[30, 10], Some(20)));
-    /// assert_eq!(sum, Load { taken: vec![2], ..load(&[6, 2], &[40, 10], Some(20)) });
+    /// assert_eq!(sum, Load { occupied: vec![2], ..load(&[6, 2], &[40, 10], Some(20)) });
     /// ```
     pub fn add(&mut self, other: &Load) {
-        merge(&mut self.reading_ms, &other.reading_ms, u32::saturating_add);
-        merge(&mut self.overdue_ms, &other.overdue_ms, u32::max);
-        merge(&mut self.taken, &other.taken, u32::saturating_add);
-        self.begun_ms = self.begun_ms.into_iter().chain(other.begun_ms).min();
+        merge_amounts(&mut self.prefill_ms, &other.prefill_ms, u32::saturating_add);
+        merge_amounts(&mut self.overdue_ms, &other.overdue_ms, u32::max);
+        merge_amounts(&mut self.occupied, &other.occupied, u32::saturating_add);
+        self.first_token_age_ms =
+            self.first_token_age_ms.into_iter().chain(other.first_token_age_ms).min();
     }
 
-    /// Takes one node's part out of a sum. The longest delay and the last answer stay, whoever saw them.
+    /// Subtracts one node's load from a sum. The longest delay and the age of the last first token stay,
+    /// whichever node observed them.
     ///
     /// ```
     /// use wire::gossip::Load;
     ///
-    /// let mut sum = Load { reading_ms: vec![9, 4], taken: vec![3], ..Load::none(7) };
-    /// sum.remove(&Load { reading_ms: vec![2], taken: vec![1], ..Load::none(7) });
-    /// assert_eq!(sum, Load { reading_ms: vec![7, 4], taken: vec![2], ..Load::none(7) });
+    /// let mut sum = Load { prefill_ms: vec![9, 4], occupied: vec![3], ..Load::empty(7) };
+    /// sum.subtract(&Load { prefill_ms: vec![2], occupied: vec![1], ..Load::empty(7) });
+    /// assert_eq!(sum, Load { prefill_ms: vec![7, 4], occupied: vec![2], ..Load::empty(7) });
     /// ```
-    pub fn remove(&mut self, part: &Load) {
-        merge(&mut self.reading_ms, &part.reading_ms, u32::saturating_sub);
-        merge(&mut self.taken, &part.taken, u32::saturating_sub);
+    pub fn subtract(&mut self, part: &Load) {
+        merge_amounts(&mut self.prefill_ms, &part.prefill_ms, u32::saturating_sub);
+        merge_amounts(&mut self.occupied, &part.occupied, u32::saturating_sub);
     }
 }
 
-/// Adds amounts by rank to others `by` a sum or another function.
+/// Combines amounts with others by `combine`, priority by priority; a missing amount counts as 0.
 ///
 /// ```
-/// let mut held = vec![1];
-/// wire::gossip::merge(&mut held, &[2, 3], u32::saturating_add);
-/// assert_eq!(held, [3, 3]);
+/// let mut amounts = vec![1];
+/// wire::gossip::merge_amounts(&mut amounts, &[2, 3], u32::saturating_add);
+/// assert_eq!(amounts, [3, 3]);
 /// ```
-pub fn merge(held: &mut Vec<u32>, more: &[u32], by: impl Fn(u32, u32) -> u32) {
-    held.resize(held.len().max(more.len()), 0);
-    for (held, more) in held.iter_mut().zip(more) {
-        *held = by(*held, *more);
+pub fn merge_amounts(amounts: &mut Vec<u32>, others: &[u32], combine: impl Fn(u32, u32) -> u32) {
+    amounts.resize(amounts.len().max(others.len()), 0);
+    for (amount, other) in amounts.iter_mut().zip(others) {
+        *amount = combine(*amount, *other);
     }
 }
 
--- a/components/wire/src/keyed.rs
+++ b/components/wire/src/idempotency.rs
@@ -1,15 +1,15 @@
-//! What a node sends to the home of a key: a caller's call, and on leaving the calls it let
-//! through.
+//! Messages to the owner of an idempotency key: a call to run at most once, and the records that an
+//! owner hands over when it leaves.
 
 use serde::{Deserialize, Serialize};
 
 derives::data! {
-    /// A caller's call that the home of its key lets through, or doesn't.
+    /// A call with an idempotency key, sent to the owner of the key.
     #[derive(Serialize, Deserialize)]
-    pub struct Keyed {
-        /// The request's id.
+    pub struct KeyedCall {
+        /// Id of the request.
         pub id: String,
-        /// Its idempotency key.
+        /// Idempotency key.
         pub key: String,
         /// Name of the workspace.
         pub workspace: String,
@@ -21,9 +21,9 @@
         pub path: String,
         /// Media type of the body.
         pub media: String,
-        /// Milliseconds for which the answer is of use.
+        /// Time in milliseconds within which the answer is of use.
         pub deadline_ms: u64,
-        /// Limit on the answer in tokens that the caller set.
+        /// Limit on the length of the answer in tokens, if the caller set one.
         #[serde(default)]
         pub max_tokens: Option<u32>,
         /// The body.
@@ -31,7 +31,7 @@
         pub body: Vec<u8>,
     }
 
-    /// Calls that a leaving home let through.
+    /// The calls that a leaving owner let through.
     #[derive(Serialize, Deserialize)]
     pub struct Handover {
         /// The calls.
@@ -43,17 +43,17 @@
     pub struct Call {
         /// Name of the workspace.
         pub workspace: String,
-        /// Its idempotency key.
+        /// Idempotency key.
         pub key: String,
-        /// The whole answer, if it is known and kept.
+        /// The complete answer, if it is known and was kept.
         #[serde(default)]
         pub answer: Option<Answer>,
     }
 
-    /// A whole answer.
+    /// A complete answer.
     #[derive(Serialize, Deserialize)]
     pub struct Answer {
-        /// Status.
+        /// HTTP status.
         pub status: u16,
         /// Media type.
         pub media: String,
@@ -63,4 +63,4 @@
     }
 }
 
-messages!(Keyed, Handover);
+messages!(KeyedCall, Handover);
--- a/components/wire/src/lib.rs
+++ b/components/wire/src/lib.rs
@@ -1,79 +1,82 @@
-//! Frames between the routers' processes: MessagePack maps with named fields, so that a field an
-//! older build doesn't know passes over it, and one that it doesn't send has a default.
+//! Messages between the processes of a fleet: MessagePack maps with named fields, so that an older
+//! build ignores a field that it doesn't know, and a field that it doesn't send gets its default.
 //!
-//! Field names on the wire are single letters, because control traffic has a byte budget. Rows
-//! within a list are arrays: a row never changes its shape, a newer build adds another list.
+//! Field names on the wire are single letters, because control traffic has a byte budget. Rows of a
+//! list are arrays; the fields of a row never change, and a newer build adds another list instead.
 
 #[macro_use]
-mod form;
+mod encoding;
 pub mod gossip;
-mod keyed;
+mod idempotency;
 pub mod updates;
 
-pub use keyed::{Handover, Keyed};
+pub use idempotency::{Handover, KeyedCall};
 /// Parts of a [`Handover`].
 pub mod handover {
-    pub use crate::keyed::{Answer, Call};
+    pub use crate::idempotency::{Answer, Call};
 }
 
 use serde::{Deserialize, Serialize};
 
-/// Version that this build writes.
+/// Protocol version that this build sends.
 pub const VERSION: u16 = 1;
 
 derives::data! {
-    /// What a node tells a peer. The lists hold what changed since the peer was last told.
+    /// A node's state, sent to a peer. Lists contain the changes since the last frame to this peer, unless
+    /// they are marked as complete.
     #[derive(Default, Serialize, Deserialize)]
     pub struct Frame {
-        /// Version of the writer.
+        /// Protocol version of the sender.
         #[serde(rename = "v")]
         pub version: u16,
-        /// Name of the writer.
+        /// Name of the sender.
         #[serde(rename = "f")]
         pub from: String,
-        /// Number of the writer's process start, in milliseconds since 1970.
+        /// Start time of the sender's process, in milliseconds since 1970.
         #[serde(rename = "i")]
         pub incarnation: u64,
-        /// Number of the frame within the process; of two frames the higher is the newer.
+        /// Number of the frame within the sender's process; a newer frame has a higher one.
         #[serde(rename = "b", default)]
-        pub beat: u64,
-        /// Address of the writer's peers' listener.
+        pub sequence: u64,
+        /// Address of the sender's listener for peers.
         #[serde(rename = "a", default, skip_serializing_if = "String::is_empty")]
         pub address: String,
-        /// Failure domain of the writer.
+        /// Failure domain of the sender.
         #[serde(rename = "d", default, skip_serializing_if = "String::is_empty")]
         pub domain: String,
-        /// Revision of the settings in force at the writer.
+        /// Revision of the settings in force at the sender.
         #[serde(rename = "r", default)]
         pub revision: u64,
-        /// Digest of the same.
+        /// Digest of the settings in force at the sender.
         #[serde(rename = "g", default)]
         pub digest: u64,
-        /// The writer takes no new work.
+        /// Whether the sender is leaving and accepts no new work.
         #[serde(rename = "l", default, skip_serializing_if = "is_false")]
         pub leaving: bool,
-        /// Requests that the writer has in flight, by server; zero for one that has none left.
+        /// Number of the sender's requests in flight by server; zero for a server that has none left.
         #[serde(rename = "s", default, skip_serializing_if = "Vec::is_empty")]
-        pub sent: Vec<Sent>,
-        /// Work by tier on the writer; always whole.
+        pub in_flight: Vec<InFlight>,
+        /// The sender's work by tier; always complete.
         #[serde(rename = "q", default, skip_serializing_if = "Vec::is_empty")]
         pub demand: Vec<Demand>,
-        /// Work that waits, by model and tier; always whole.
+        /// The sender's queued requests by model and tier; always complete.
         #[serde(rename = "m", default, skip_serializing_if = "Vec::is_empty")]
-        pub waits: Vec<Wait>,
-        /// Requests in flight of the workspaces that have a limit and most of them; always whole.
+        pub queued: Vec<Queued>,
+        /// The sender's requests in flight by workspace, for those workspaces with a limit that have the
+        /// most; always complete.
         #[serde(rename = "w", default, skip_serializing_if = "Vec::is_empty")]
-        pub workspaces: Vec<Sent>,
-        /// Signs of life of other nodes.
+        pub workspaces: Vec<InFlight>,
+        /// Signs of life of other nodes, received by the sender or passed on to it.
         #[serde(rename = "h", default, skip_serializing_if = "Vec::is_empty")]
-        pub alive: Vec<Alive>,
+        pub liveness: Vec<Liveness>,
         /// Load reports of engines.
         #[serde(rename = "o", default, skip_serializing_if = "Vec::is_empty")]
         pub loads: Vec<Load>,
-        /// Servers that the writer suspects.
+        /// Keys of the servers that get no new work from the sender because they don't show what the settings
+        /// want.
         #[serde(rename = "u", default, skip_serializing_if = "Vec::is_empty")]
         pub suspects: Vec<u32>,
-        /// Work of whole cells.
+        /// Sums of the work of cells.
         #[serde(rename = "c", default, skip_serializing_if = "Vec::is_empty")]
         pub cells: Vec<Cell>,
     }
@@ -81,10 +84,10 @@
 
 row! {
     /// Requests in flight at one server, or of one workspace.
-    pub struct Sent {
-        /// Key of the server's or workspace's name.
-        pub server: u32,
-        /// Requests in flight.
+    pub struct InFlight {
+        /// [`key`] of the server's or workspace's name.
+        pub key: u32,
+        /// Number of requests in flight.
         pub count: u32,
     }
 }
@@ -94,51 +97,51 @@
     pub struct Demand {
         /// Rank of the tier; 0 is the highest.
         pub tier: u8,
-        /// Requests that wait.
+        /// Number of queued requests.
         pub waiting: u32,
-        /// Requests in flight.
-        pub sent: u32,
+        /// Number of requests in flight.
+        pub in_flight: u32,
     }
 }
 
 row! {
-    /// Work of one tier that waits on one node for servers of one model.
-    pub struct Wait {
-        /// Key of the model's name.
+    /// Requests of one tier that are queued on one node for servers of one model.
+    pub struct Queued {
+        /// [`key`] of the model's name.
         pub model: u32,
-        /// Rank of the tier.
+        /// Rank of the tier; 0 is the highest.
         pub tier: u8,
-        /// Requests that wait.
+        /// Number of queued requests.
         pub count: u32,
     }
 }
 
 row! {
-    /// A sign of life of a node, passed on.
-    pub struct Alive {
-        /// Key of the node's name.
+    /// The age of a node's last sign of life.
+    pub struct Liveness {
+        /// [`key`] of the node's name.
         pub node: u32,
-        /// Milliseconds since the sign was given, as far as the writer knows.
+        /// Milliseconds since the sign of life, as far as the sender knows.
         pub age_ms: u32,
     }
 }
 
 row! {
-    /// What an engine said of its load.
+    /// An engine's report of its own load.
     pub struct Load {
-        /// Key of the server's name.
+        /// [`key`] of the engine's name.
         pub server: u32,
-        /// Milliseconds since the engine took the figures.
+        /// Milliseconds since the engine measured its load.
         pub age_ms: u32,
-        /// Requests that run.
+        /// Number of requests that run.
         pub running: u32,
-        /// Requests that wait there.
+        /// Number of requests that are queued at the engine.
         pub queued: u32,
-        /// Requests it runs at once.
+        /// Number of requests that the engine can run at once.
         pub slots: u32,
-        /// Time between tokens of a stream in microseconds.
+        /// Time between two tokens of a stream in microseconds.
         pub token_interval_us: u32,
-        /// It takes no new work.
+        /// Whether the engine accepts no new work.
         pub leaving: bool,
     }
 }
@@ -148,18 +151,18 @@
     pub struct Cell {
         /// Number of the cell.
         pub cell: u32,
-        /// Milliseconds since it was summed.
+        /// Milliseconds since the work was summed.
         pub age_ms: u32,
-        /// Rank of the tier.
+        /// Rank of the tier; 0 is the highest.
         pub tier: u8,
-        /// Requests that wait.
+        /// Number of queued requests.
         pub waiting: u32,
-        /// Places that the tier could still fill.
+        /// Number of slots that the tier could still occupy.
         pub free: u32,
     }
 }
 
-/// A frame that can't be read.
+/// A message that can't be decoded.
 #[derive(Debug, thiserror::Error)]
 #[error("unreadable frame from a peer ({0}); check that both run builds of this program")]
 pub struct Error(#[from] rmp_serde::decode::Error);
@@ -168,8 +171,8 @@
     !flag
 }
 
-/// Key of a name on the wire: 32 bits in place of the text. Two of the hundred or so names of a
-/// cell collide once in about a million cells; their counts would then be added.
+/// The key that stands for a name on the wire: 32 bits of its hash, to save bytes. Two of the hundred
+/// or so names of a cell collide in about one of a million cells; their counts would then be added.
 ///
 /// ```
 /// assert_ne!(wire::key("engine-0"), wire::key("engine-1"));
--- a/components/wire/src/updates.rs
+++ b/components/wire/src/updates.rs
@@ -1,4 +1,5 @@
-//! What a node asks a peer that reads the store, so that not every node has to read it.
+//! Messages in which a node asks a peer for changes of the store's items, so that not every node has to
+//! read the store.
 
 use std::io::{Read, Write};
 use std::net::SocketAddr;
@@ -11,126 +12,129 @@
 
 use crate::Error;
 
-/// Largest list of items once inflated, in bytes: ten thousand servers take some 4 MB.
-const LARGEST: u32 = 64 << 20;
-/// Shortest list that is deflated, in bytes: some ten servers. What is saved on less isn't worth the
-/// time.
-const DEFLATED: usize = 2 << 10;
+/// Largest list of items after decompression, in bytes: ten thousand servers take some 4 MB.
+const MAX_INFLATED_BYTES: u32 = 64 << 20;
+/// Shortest list that is compressed, in bytes: some ten servers. Compressing less saves too few bytes
+/// for the time it takes.
+const MIN_DEFLATED_BYTES: usize = 2 << 10;
 
 derives::data! {
-    /// A node asks for what changed.
+    /// A node's request for changes.
     #[derive(Default, Serialize, Deserialize)]
     pub struct UpdateRequest {
         /// Name of the node.
         #[serde(rename = "f")]
         pub from: String,
-        /// Where the node listens for peers; none if it can't be asked.
+        /// Address of the node's listener for peers; none if it doesn't answer update requests.
         #[serde(rename = "a", default)]
         pub address: Option<SocketAddr>,
-        /// Position in the store's history up to which it knows all; none if it knows nothing.
+        /// Position in the store's history up to which the node knows all changes; none if it
+        /// knows nothing.
         #[serde(rename = "p", default)]
         pub position: Option<u64>,
-        /// How long the answer may wait for a change, in milliseconds.
+        /// Longest time for which the answer may wait for a change, in milliseconds.
         #[serde(rename = "w", default)]
         pub wait_ms: u32,
-        /// Work of the node, and of those that tell it theirs.
+        /// Work of the node and of the nodes that report theirs to it.
         #[serde(rename = "q", default)]
         pub work: Work,
     }
 
-    /// Work of some nodes at engines of late.
+    /// Recent work of a number of nodes at engines.
     #[derive(Copy, Default, Serialize, Deserialize)]
     pub struct Work {
-        /// How many nodes it is of.
+        /// Number of nodes that the sums include.
         #[serde(rename = "n", default)]
         pub nodes: u32,
-        /// Engine time of the strictest streams, in milliseconds, where they are apart.
+        /// Engine time in milliseconds of streams with the strictest targets, where these have engines of
+        /// their own.
         #[serde(rename = "t", default)]
         pub strict_ms: u32,
         /// Engine time of other steady streams, in milliseconds.
         #[serde(rename = "s", default)]
         pub steady_ms: u32,
-        /// Engine time of all else, in milliseconds.
+        /// Engine time of all other requests, in milliseconds.
         #[serde(rename = "b", default)]
         pub bulk_ms: u32,
-        /// Bytes of requests to engines, a second, in KiB.
+        /// Size of the requests sent to engines, in KiB per second.
         #[serde(rename = "k", default)]
         pub kib_per_s: u32,
     }
 
-    /// What changed.
+    /// The answer to an [`UpdateRequest`]: the changes after its position.
     #[derive(Default, Serialize, Deserialize)]
     pub struct Update {
-        /// Position in the store's history up to which the writer knows all.
+        /// Position in the store's history up to which the answering node knows all changes.
         #[serde(rename = "p")]
-        pub at: u64,
-        /// All items as they were at an earlier position, for one that knows nothing.
+        pub position: u64,
+        /// All items as of an earlier position, for a node that knows nothing.
         #[serde(rename = "b", default)]
         pub base: Option<Base>,
-        /// The writer doesn't know all that changed after the position asked for; none of it is told.
+        /// Whether the answering node has forgotten some changes after the requested position; the answer
+        /// then contains none.
         #[serde(rename = "u", default)]
-        pub unknown: bool,
-        /// Items that changed, after the base if there is one.
+        pub history_lost: bool,
+        /// Items that changed after the requested position, or after the base if there is one.
         #[serde(rename = "i", default)]
         pub items: Items,
-        /// Age of the writer's proof that nothing is newer, in milliseconds; none without one.
+        /// Age in milliseconds of the answering node's proof that nothing is newer; none without a proof.
         #[serde(rename = "o", default)]
         pub age_ms: Option<u32>,
-        /// How long the writer held the question, in milliseconds.
+        /// Time in milliseconds for which the answer waited for a change.
         #[serde(rename = "h", default)]
-        pub held_ms: u32,
-        /// The store gives the writer no answer.
+        pub waited_ms: u32,
+        /// Whether the answering node gets no answers from the store.
         #[serde(rename = "l", default)]
-        pub lost: bool,
-        /// The store was away until so many milliseconds ago, and missing items may come back; none if
-        /// they had the time.
+        pub store_lost: bool,
+        /// Milliseconds since the store came back after an outage, while missing items may still be published
+        /// again; none once they had enough time for that.
         #[serde(rename = "d", default)]
-        pub returned_ms: Option<u32>,
-        /// Work of all nodes that the writer heard of.
+        pub store_returned_ms: Option<u32>,
+        /// Work of all nodes known to the answering node.
         #[serde(rename = "q", default)]
         pub work: Work,
     }
 
-    /// All items as they were at a position.
+    /// All items as of a position.
     #[derive(Serialize, Deserialize)]
     pub struct Base {
-        /// The position.
+        /// Position in the store's history.
         #[serde(rename = "p")]
-        pub at: u64,
+        pub position: u64,
         /// The items.
         #[serde(rename = "i")]
         pub items: Items,
     }
 
-    /// A list of items as it is sent. A long one is deflated: entries of servers resemble each other,
-    /// and hundreds of nodes may be sent them at once over a narrow link.
+    /// An encoded list of items. A long one is compressed: entries of servers resemble each other, and
+    /// hundreds of nodes may receive them at once over a narrow link.
     #[derive(Default, Serialize, Deserialize)]
     pub struct Items {
-        /// Length of the list once inflated, in bytes; none for one that isn't deflated.
+        /// Length of the list after decompression, in bytes; none if it isn't compressed.
         #[serde(rename = "n", default)]
-        inflated: Option<u32>,
-        /// The list, as MessagePack; nothing for an empty one.
+        inflated_bytes: Option<u32>,
+        /// The list as MessagePack, compressed or not; no bytes for an empty list.
         #[serde(rename = "d")]
         bytes: ByteBuf,
     }
 
-    /// Something published, as it stands in the store.
+    /// A published item of the store.
     #[derive(Eq, Serialize, Deserialize)]
     pub struct Item {
-        /// Its key.
+        /// Key of the item.
         #[serde(rename = "k")]
         pub key: String,
-        /// Position of its last change.
+        /// Position of the item's last change.
         #[serde(rename = "r")]
         pub revision: u64,
-        /// Its bytes; none once it was deleted.
+        /// Value of the item; none after its deletion.
         #[serde(rename = "v", default)]
         pub value: Option<ByteBuf>,
     }
 }
 
 impl Work {
-    /// The sum of both.
+    /// Sums the work of both.
     ///
     /// ```
     /// let one = wire::updates::Work { nodes: 1, strict_ms: 3, steady_ms: 5, bulk_ms: 7, kib_per_s: 9 };
@@ -148,7 +152,7 @@
 }
 
 impl Items {
-    /// Packs a list.
+    /// Encodes a list.
     ///
     /// ```
     /// use wire::updates::{Item, Items};
@@ -161,27 +165,29 @@
             return Items::default();
         }
         let plain = rmp_serde::to_vec_named(list).expect("plain fields");
-        if plain.len() < DEFLATED {
-            return Items { inflated: None, bytes: plain.into() };
+        if plain.len() < MIN_DEFLATED_BYTES {
+            return Items { inflated_bytes: None, bytes: plain.into() };
         }
         let mut encoder = DeflateEncoder::new(Vec::new(), Compression::fast());
         encoder.write_all(&plain).expect("memory takes it");
         let bytes = encoder.finish().expect("memory takes it").into();
-        Items { inflated: Some(plain.len() as u32), bytes }
+        Items { inflated_bytes: Some(plain.len() as u32), bytes }
     }
 
-    /// The list.
+    /// Decodes the list.
     ///
     /// # Errors
-    /// When it can't be read, or is longer than it says or than any fleet's.
+    /// When it can't be decoded, or is longer than its stated length or than [`MAX_INFLATED_BYTES`].
     pub fn unpack(&self) -> Result<Vec<Item>, Error> {
         if self.bytes.is_empty() {
             return Ok(vec![]);
         }
-        let Some(length) = self.inflated else { return Ok(rmp_serde::from_slice(&self.bytes)?) };
-        // What is cut off there is no list, and is refused as such.
-        let most = length.min(LARGEST).into();
-        Ok(rmp_serde::from_read(DeflateDecoder::new(self.bytes.as_ref()).take(most))?)
+        let Some(inflated_bytes) = self.inflated_bytes else {
+            return Ok(rmp_serde::from_slice(&self.bytes)?);
+        };
+        // A list that is cut off at the limit can't be decoded, and gives an error.
+        let max_bytes = inflated_bytes.min(MAX_INFLATED_BYTES).into();
+        Ok(rmp_serde::from_read(DeflateDecoder::new(self.bytes.as_ref()).take(max_bytes))?)
     }
 }
 
--- a/components/wire/tests/frame.rs
+++ b/components/wire/tests/frame.rs
@@ -1,19 +1,19 @@
-//! Frames between builds of different age.
+//! Tests that builds of different versions can read each other's frames.
 
 use serde::{Deserialize, Serialize};
-use wire::{Alive, Demand, Frame, Load, Sent, VERSION};
+use wire::{Demand, Frame, InFlight, Liveness, Load, VERSION};
 
 fn frame() -> Frame {
     Frame {
         version: VERSION,
         from: "entry-0".into(),
         incarnation: 1_764_000_000_000,
-        beat: 7,
+        sequence: 7,
         revision: 3,
         digest: 4,
-        sent: vec![Sent { server: wire::key("engine-0"), count: 2 }],
-        demand: vec![Demand { tier: 0, waiting: 1, sent: 2 }],
-        alive: vec![Alive { node: wire::key("entry-1"), age_ms: 300 }],
+        in_flight: vec![InFlight { key: wire::key("engine-0"), count: 2 }],
+        demand: vec![Demand { tier: 0, waiting: 1, in_flight: 2 }],
+        liveness: vec![Liveness { node: wire::key("entry-1"), age_ms: 300 }],
         loads: vec![Load {
             server: wire::key("engine-0"),
             age_ms: 120,
@@ -27,11 +27,11 @@
     }
 }
 
-/// A build of next year: it knows all fields of today and two more.
+/// A frame of another build, as a map of fields that may lack some of today's or have further ones.
 #[derive(Serialize, Deserialize)]
-struct Newer {
+struct OtherBuild {
     #[serde(flatten)]
-    today: std::collections::BTreeMap<String, serde_value::Value>,
+    fields: std::collections::BTreeMap<String, serde_value::Value>,
 }
 
 mod serde_value {
@@ -50,31 +50,32 @@
 
 use serde_value::Value;
 
-// During a rollout half of the nodes run the newer build. If the older ones refused its frames,
-// the fleet would fall into two parts that each take the other for silent, and callers would see
-// a sixth of the servers' places go unused.
+// During a rollout half of the nodes run the newer build. If the older ones refused its frames, the
+// fleet would split into two parts that each consider the other unreachable, and a sixth of the
+// servers' slots would go unused.
 #[test]
 fn can_read_a_newer_build() {
-    let mut newer: Newer = rmp_serde::from_slice(&frame().encode()).unwrap();
-    newer.today.insert("v".into(), Value::Number(u64::from(VERSION) + 1));
-    newer.today.insert("zz".into(), Value::List(vec![Value::Text("later".into())]));
+    let mut newer: OtherBuild = rmp_serde::from_slice(&frame().encode()).unwrap();
+    newer.fields.insert("v".into(), Value::Number(u64::from(VERSION) + 1));
+    newer.fields.insert("zz".into(), Value::List(vec![Value::Text("later".into())]));
     let read = Frame::decode(&rmp_serde::to_vec_named(&newer).unwrap()).unwrap();
     assert_eq!(read, Frame { version: VERSION + 1, ..frame() });
 }
 
-// The same rollout from the other side: the older build knows none of the lists that came later.
+// The same rollout from the other side: an older build doesn't send the lists that were added later.
 #[test]
 fn can_read_an_older_build() {
-    let mut older: Newer = rmp_serde::from_slice(&frame().encode()).unwrap();
-    older.today.retain(|name, _| ["v", "f", "i", "r"].contains(&name.as_str()));
+    let mut older: OtherBuild = rmp_serde::from_slice(&frame().encode()).unwrap();
+    older.fields.retain(|name, _| ["v", "f", "i", "r"].contains(&name.as_str()));
     let read = Frame::decode(&rmp_serde::to_vec_named(&older).unwrap()).unwrap();
     assert_eq!((read.from, read.revision), ("entry-0".to_string(), 3));
-    assert!(read.sent.is_empty() && read.demand.is_empty());
+    assert!(read.in_flight.is_empty() && read.demand.is_empty());
 }
 
 #[test]
 fn can_stay_short() {
-    let empty = Frame { sent: vec![], demand: vec![], alive: vec![], loads: vec![], ..frame() };
+    let empty =
+        Frame { in_flight: vec![], demand: vec![], liveness: vec![], loads: vec![], ..frame() };
     let bare = empty.encode().len();
     assert!(bare <= 64, "a bare frame takes {bare} bytes");
     let whole = frame().encode().len();
