--- a/components/fleet/examples/slopes/node.rs
+++ b/components/fleet/examples/slopes/node.rs
@@ -82,7 +82,7 @@
         let row = |tier: usize| Demand {
             tier: tier as u8,
             waiting: self.queues[tier].len() as u32,
-            sent: self.in_flight[tier],
+            in_flight: self.in_flight[tier],
         };
         self.own.demand = (0..3).map(row).collect();
     }
@@ -105,7 +105,7 @@
             from: self.own.name.clone(),
             incarnation: 1,
             digest: self.own.digest,
-            sent: self.own.sent.clone(),
+            in_flight: self.own.sent.clone(),
             demand: self.own.demand.clone(),
             ..Default::default()
         }
