--- a/components/fleet/examples/slopes/node.rs
+++ b/components/fleet/examples/slopes/node.rs
@@ -7,7 +7,7 @@
 use fleet::exchange::{ANSWER_HEAD, Exchange, Own, REQUEST_HEAD};
 use fleet::share::{Past, Pool};
 use fleet::{Listed, View};
-use wire::{Demand, Frame, Sent};
+use wire::{Demand, Frame, InFlight};
 
 use crate::model::{Call, PERIOD, SLOTS};
 
@@ -77,12 +77,12 @@
     pub fn look(&mut self) {
         let sent = self.sent.iter().filter(|(_, count)| **count > 0);
         self.own.sent = sent
-            .map(|(server, count)| Sent { server: server_key(*server), count: *count })
+            .map(|(server, count)| InFlight { key: server_key(*server), count: *count })
             .collect();
         let row = |tier: usize| Demand {
             tier: tier as u8,
             waiting: self.queues[tier].len() as u32,
-            sent: self.in_flight[tier],
+            in_flight: self.in_flight[tier],
         };
         self.own.demand = (0..3).map(row).collect();
     }
@@ -105,7 +105,7 @@
             from: self.own.name.clone(),
             incarnation: 1,
             digest: self.own.digest,
-            sent: self.own.sent.clone(),
+            in_flight: self.own.sent.clone(),
             demand: self.own.demand.clone(),
             ..Default::default()
         }
--- a/components/router/src/keyed.rs
+++ b/components/router/src/keyed.rs
@@ -11,10 +11,10 @@
 use engine::wire::{NOT_RUN, REPLAYED, REQUEST_ID};
 use engine::{Call, Client, Kind, Piece, Reply, Whole};
 use futures_util::stream;
+use idempotency::{CallKey, Member, Record, StoredAnswer};
 use lifecycle::{Admitted, Outcome, Reason, Sending, Unsent, Waiting};
-use once::{Kept, Member, Name, Record};
 use settings::Effective;
-use wire::Keyed;
+use wire::KeyedCall;
 
 use crate::answer::{self, Answer, Error, OUTCOME, STREAMING};
 use crate::claim::Claim;
@@ -33,8 +33,8 @@
 pub(crate) async fn serve(state: Rc<State>, job: Job, key: ids::Request, held: Held) -> Answer {
     let (owner, mine) = {
         let home = state.home.borrow();
-        let owner = home.owner(key).cloned();
-        let mine = owner.as_ref().is_some_and(|owner| home.is_me(owner));
+        let owner = home.owner_of(key).cloned();
+        let mine = owner.as_ref().is_some_and(|owner| home.is_self(owner));
         (owner, mine)
     };
     match owner {
@@ -46,21 +46,27 @@
 
 /// Lets a call through at this node, or not.
 async fn here(state: Rc<State>, mut job: Job, key: ids::Request, held: Held) -> Answer {
-    let name = Name { workspace: job.parcel.workspace.clone(), key };
+    let name = CallKey { workspace: job.parcel.workspace.clone(), key };
     let id = job.life.id();
     match Claim::make(&state, name) {
         Ok(claim) => {
             job.parcel.claim = Some(claim);
             relay::serve(state, job, held).await
         }
-        Err(once::Answer::Seen(Record::Complete(Some(kept)))) => again(&state, id, &job, &kept),
-        Err(once::Answer::Seen(Record::Running)) => told(&state, id, &job, Error::Running),
-        Err(once::Answer::Seen(_)) => told(&state, id, &job, Error::Ran),
-        Err(once::Answer::MayHaveRun) if alone(&state, &job.parcel) => {
+        Err(idempotency::Decision::Duplicate(Record::Complete(Some(kept)))) => {
+            again(&state, id, &job, &kept)
+        }
+        Err(idempotency::Decision::Duplicate(Record::Running)) => {
+            told(&state, id, &job, Error::Running)
+        }
+        Err(idempotency::Decision::Duplicate(_)) => told(&state, id, &job, Error::Ran),
+        Err(idempotency::Decision::MayHaveRun) if alone(&state, &job.parcel) => {
             relay::serve(state, job, held).await
         }
-        Err(once::Answer::MayHaveRun) => told(&state, id, &job, Error::MayHaveRun),
-        Err(once::Answer::Undated) => refused(&state, &job.parcel, job.life, Error::Undated),
+        Err(idempotency::Decision::MayHaveRun) => told(&state, id, &job, Error::MayHaveRun),
+        Err(idempotency::Decision::Undated) => {
+            refused(&state, &job.parcel, job.life, Error::Undated)
+        }
         Err(_) => refused(&state, &job.parcel, job.life, Error::NoHome),
     }
 }
@@ -97,7 +103,7 @@
 }
 
 /// Gives the answer of the first call once more.
-fn again(state: &State, id: ids::Request, job: &Job, kept: &Kept) -> Answer {
+fn again(state: &State, id: ids::Request, job: &Job, kept: &StoredAnswer) -> Answer {
     relay::note(state, id, &job.parcel.class.name, Outcome::Complete);
     let status = StatusCode::from_u16(kept.status).unwrap_or(StatusCode::OK);
     let mut response = Response::build(status);
@@ -145,7 +151,7 @@
     owner: &Member,
     left: Duration,
 ) -> Call {
-    let keyed = Keyed {
+    let keyed = KeyedCall {
         id: id.to_string(),
         key: key.to_string(),
         workspace: parcel.workspace.clone(),
@@ -282,14 +288,14 @@
     let settings = state.settings()?;
     let all = listen::whole(&mut request, settings.limits.max_body + ROOM);
     let body = tokio::time::timeout(settings.limits.body_time, all).await.ok()?.ok()?;
-    let keyed = Keyed::decode(&body).ok()?;
+    let keyed = KeyedCall::decode(&body).ok()?;
     let key = ids::Request::parse(&keyed.key).ok()?;
     Some((job(state, &settings, keyed, key)?, key))
 }
 
 /// The call by this node's settings; none if they don't know of its class, workspace or model, or
 /// hold it idempotent.
-fn job(state: &State, settings: &Effective, keyed: Keyed, key: ids::Request) -> Option<Job> {
+fn job(state: &State, settings: &Effective, keyed: KeyedCall, key: ids::Request) -> Option<Job> {
     let class_key = settings.class_names.key(&keyed.class)?;
     let class = settings.classes.get(class_key).filter(|class| !class.idempotent)?.clone();
     let workspace = settings.workspace_names.key(&keyed.workspace)?;
