--- a/components/forward/src/attempt.rs
+++ b/components/forward/src/attempt.rs
@@ -274,7 +274,10 @@
             Ok(Some(_)) => {}
             Ok(None) => break,
             Err(cause) => {
-                log::debug!(server = server.name.as_str(), cause:% = cause; "connection closed, reading the rest of a response failed");
+                log::debug!(
+                    server = server.name.as_str(), cause:% = cause;
+                    "connection closed; a discarded response can't be read to its end"
+                );
                 return;
             }
         }
