--- a/components/fleet/src/lib.rs
+++ b/components/fleet/src/lib.rs
@@ -1,14 +1,16 @@
-//! Membership, cells and what nodes tell each other. Pure: the router carries the frames and asks
-//! the engines; time only moves through the `now` arguments.
+//! Lets the nodes of a fleet act together: membership, cells, and the shares of backend servers.
+//!
+//! The crate does no input or output: the router carries the frames and polls the engines, and time
+//! comes only from the `now` arguments.
 
 pub mod budget;
 pub mod cells;
 pub mod claims;
 pub mod exchange;
 pub mod health;
-pub mod loads;
 pub mod orders;
+pub mod polling;
 pub mod share;
 mod view;
 
-pub use view::{Listed, Member, Reported, Standing, View};
+pub use view::{ListedVm, LoadReport, Member, MemberStatus, View};
--- a/components/fleet/tests/share.rs
+++ b/components/fleet/tests/share.rs
@@ -1,24 +1,35 @@
-//! Shares of one server, judged by what all nodes together may put on it.
+//! Tests the shares of one server by the number of requests that all nodes together may put on it.
 
-use fleet::share::{Claim, Need, Pool, Voice};
+use fleet::share::{Claim, Freshness, Need, Pool};
 use proptest::prelude::*;
 
-fn claim(node: u32, tier: u8, places: f64, sent: u32) -> Claim {
-    let waiting = (places > f64::from(sent)).then_some(tier);
-    Claim { node, voice: Voice::Fresh, needs: vec![Need { tier, places }], sent, waiting }
+fn claim(node: u32, tier: u8, slots: f64, in_flight: u32) -> Claim {
+    let waiting_tier = (slots > f64::from(in_flight)).then_some(tier);
+    Claim {
+        node,
+        freshness: Freshness::Fresh,
+        needs: vec![Need { tier, slots }],
+        in_flight,
+        waiting_tier,
+    }
 }
 
+/// The slots of each node's share.
 fn shares(pool: Pool, claims: &[Claim]) -> Vec<u32> {
-    let one = |own: &Claim| {
+    let share = |own: &Claim| {
         let peers: Vec<_> = claims.iter().filter(|c| c.node != own.node).cloned().collect();
-        pool.share(own, 0.0, &peers).places
+        pool.share(own, 0.0, &peers).slots
     };
-    claims.iter().map(one).collect()
+    claims.iter().map(share).collect()
 }
 
-fn sided(claims: &[Claim], side: impl Fn(u32) -> bool) -> Vec<Claim> {
-    let voice = |node| if side(node) { Voice::Fresh } else { Voice::Silent };
-    claims.iter().map(|c| Claim { voice: voice(c.node), sent: 0, ..c.clone() }).collect()
+/// The claims as seen from one side of a partition: nodes of the other sides are unreachable.
+fn claims_from_side(claims: &[Claim], side: impl Fn(u32) -> bool) -> Vec<Claim> {
+    let freshness = |node| if side(node) { Freshness::Fresh } else { Freshness::Unreachable };
+    claims
+        .iter()
+        .map(|c| Claim { freshness: freshness(c.node), in_flight: 0, ..c.clone() })
+        .collect()
 }
 
 #[test]
@@ -30,19 +41,19 @@
     assert_eq!(shares(pool, &claims), [4, 4, 4]);
 }
 
-// Drafts fill a server from one node, and a booking waits on another. If places went by demand
-// alone, the booking would queue behind a hundred drafts of the neighbour.
+// Drafts fill a server from one node, and bookings are queued on another. If slots were divided by demand
+// alone, the bookings would wait for a hundred drafts of the other node.
 #[test]
 fn can_put_a_top_tier_first_across_nodes() {
     let pool = Pool { key: 5, slots: 8, round: 0 };
     let claims = [claim(1, 2, 100.0, 0), claim(2, 0, 3.0, 0)];
     assert_eq!(shares(pool, &claims), [5, 3]);
     let peers = [claims[1].clone()];
-    assert_eq!(pool.share(&claims[0], 0.0, &peers).waiting, Some(0));
+    assert_eq!(pool.share(&claims[0], 0.0, &peers).waiting_tier, Some(0));
 }
 
-// Seven nodes before a server of four places: each has little more than half a place. A node whose
-// part were always rounded down would never serve a caller from there.
+// Seven nodes share a server with four slots: each has little more than half a slot. A node whose part were
+// always rounded down could never use the server.
 #[test]
 fn can_give_each_node_its_turn_where_places_are_few() {
     let claims: Vec<_> = (1..=7).map(|node| claim(node, 0, 4.0, 0)).collect();
@@ -51,48 +62,51 @@
     for round in 0..1000 {
         let shares = shares(Pool { key: 77, slots: 4, round }, &claims);
         assert_eq!(shares.iter().sum::<u32>(), 4, "round {round}");
-        for (node, places) in shares.iter().enumerate() {
-            since[node] = if *places == 0 { since[node] + 1 } else { 0 };
+        for (node, slots) in shares.iter().enumerate() {
+            since[node] = if *slots == 0 { since[node] + 1 } else { 0 };
             longest[node] = since[node].max(longest[node]);
         }
     }
-    assert!(longest.iter().all(|rounds| *rounds <= 2), "rounds without a place: {longest:?}");
+    assert!(longest.iter().all(|rounds| *rounds <= 2), "rounds without a slot: {longest:?}");
 }
 
-// A caller meets an idle node whose share is rounded to nothing, while the server stands empty.
+// A request arrives at an idle node whose share is rounded down to no slot, while the server is idle. The
+// node must be able to use the server at once.
 #[test]
 fn can_use_an_empty_server_at_once() {
     for round in 0..20 {
         let claims: Vec<_> = (1..=7).map(|node| claim(node, 0, 0.0, 0)).collect();
         let share = Pool { key: 77, slots: 4, round }.share(&claims[0], 1.0, &claims[1..]);
-        assert!(share.places >= 1);
+        assert!(share.slots >= 1);
     }
 }
 
-// A node falls silent: it may be dead, or on the other side of a partition and as busy as ever.
+// A node becomes unreachable: it may have failed, or be on the other side of a partition and as busy as
+// before. The others may use only half of its slots.
 #[test]
 fn can_take_half_of_a_silent_nodes_places() {
     let claims: Vec<_> = (1..=4).map(|node| claim(node, 0, 20.0, 0)).collect();
-    let claims = sided(&claims, |node| node != 4);
+    let claims = claims_from_side(&claims, |node| node != 4);
     let pool = Pool { key: 5, slots: 16, round: 0 };
     assert_eq!(shares(pool, &claims)[..3].iter().sum::<u32>(), 14);
 }
 
-// A node leaves: it takes no new work, so its places go to the others without a wait, but for what
-// it still has in flight.
+// A leaving node accepts no new work, so the others get its slots at once, except those of its requests in
+// flight.
 #[test]
 fn can_take_all_of_a_leaving_nodes_places() {
     let mut claims = [claim(1, 0, 20.0, 0), claim(2, 0, 20.0, 2)];
-    claims[1].voice = Voice::Leaving;
+    claims[1].freshness = Freshness::Leaving;
     let share = Pool { key: 5, slots: 8, round: 0 }.share(&claims[0], 0.0, &claims[1..]);
-    assert_eq!(share.places, 6);
+    assert_eq!(share.slots, 6);
 }
 
 fn any_claims() -> impl Strategy<Value = Vec<Claim>> {
     let one = (0u8..3, 0.0..20.0f64, 0u32..3);
     prop::collection::vec(one, 1..9).prop_map(|rows| {
         let rows = rows.into_iter().enumerate();
-        rows.map(|(i, (tier, places, sent))| claim(i as u32 + 1, tier, places, sent)).collect()
+        rows.map(|(i, (tier, slots, in_flight))| claim(i as u32 + 1, tier, slots, in_flight))
+            .collect()
     })
 }
 
@@ -108,60 +122,62 @@
 proptest! {
     #![proptest_config(config())]
 
-    // All hear each other: never more than the server has.
+    // All nodes receive each other's reports: the shares must not exceed the server's slots.
     #[test]
     fn can_never_overrun_together(claims in any_claims(), slots in 1u32..40, key: u32, round in 0u64..9999) {
         let sum: u32 = shares(Pool { key, slots, round }, &claims).iter().sum();
         prop_assert!(sum <= slots, "{sum} of {slots}");
     }
 
-    // The fleet splits into up to four sides for an hour, and on each side everyone wants
-    // everything. Callers notice it as engines that queue; the bound keeps that to half again.
+    // The fleet splits into up to four sides for an hour, and the nodes of each side claim as much as they can. The
+    // overload of a server makes requests queue at engines, and must be at most half its slots.
     #[test]
     fn can_bound_the_overrun_of_a_partition(
         claims in any_claims(), slots in 1u32..40, key: u32, round in 0u64..9999, sides in 2u32..5,
     ) {
         let mut sum = 0;
         for side in 0..sides {
-            let claims = sided(&claims, |node| node % sides == side);
-            let live: Vec<_> = claims.iter().filter(|c| c.voice == Voice::Fresh).collect();
+            let claims = claims_from_side(&claims, |node| node % sides == side);
+            let live: Vec<_> = claims.iter().filter(|c| c.freshness == Freshness::Fresh).collect();
             for own in live {
                 let peers: Vec<_> = claims.iter().filter(|c| c.node != own.node).cloned().collect();
-                sum += Pool { key, slots, round }.share(own, 0.0, &peers).places;
+                sum += Pool { key, slots, round }.share(own, 0.0, &peers).slots;
             }
         }
         prop_assert!(f64::from(sum) <= f64::from(slots) * 1.5 + f64::from(sides), "{sum} of {slots}");
     }
 
-    // Demand moved everywhere at once and nobody has heard of it yet.
+    // Demand changes on all nodes at once, and none has received the others' reports of it yet.
     #[test]
     fn can_bound_the_overrun_of_moving_demand(
         claims in any_claims(), slots in 1u32..40, key: u32, round in 0u64..9999,
     ) {
         let nodes = claims.len() as u32;
-        let one = |own: &Claim| {
+        let share = |own: &Claim| {
             let peers: Vec<_> = claims.iter().filter(|c| c.node != own.node).cloned().collect();
-            Pool { key, slots, round }.share(own, 1e6, &peers).places
+            Pool { key, slots, round }.share(own, 1e6, &peers).slots
         };
-        let sum: u32 = claims.iter().map(one).sum();
+        let sum: u32 = claims.iter().map(share).sum();
         prop_assert!(sum <= slots + slots.div_ceil(2) + nodes, "{sum} of {slots}, {nodes} nodes");
     }
 }
 
-// Bookings wait at a neighbour for another model. They can't use this server, so they must neither
-// take its places nor hold back its callers.
+// Bookings for another model are queued on another node. They can't use this server, so they must neither
+// claim its slots nor hold back its callers.
 #[test]
 fn can_tell_models_apart() {
-    let target = fleet::claims::Target { server: 5, part: 0.5, models: vec![(1, 1.0)] };
-    let row = wire::Demand { tier: 0, waiting: 9, sent: 0 };
-    let waits = |model| vec![wire::Queued { model, tier: 0, count: 9 }];
-    let own = |model| fleet::exchange::Own {
+    let target = fleet::claims::Target { server: 5, fraction: 0.5, models: vec![(1, 1.0)] };
+    let row = wire::Demand { tier: 0, waiting: 9, in_flight: 0 };
+    let queued = |model| vec![wire::Queued { model, tier: 0, count: 9 }];
+    let local = |model| fleet::exchange::LocalState {
         demand: vec![row],
-        waits: waits(model),
+        queued: queued(model),
         ..Default::default()
     };
-    let (same, other) =
-        (fleet::claims::own(&own(1), &target), fleet::claims::own(&own(2), &target));
-    assert_eq!((same.needs[0].places, same.waiting), (9.0, Some(0)));
-    assert_eq!((other.needs[0].places, other.waiting), (0.0, None));
+    let (same, other) = (
+        fleet::claims::own_claim(&local(1), &target),
+        fleet::claims::own_claim(&local(2), &target),
+    );
+    assert_eq!((same.needs[0].slots, same.waiting_tier), (9.0, Some(0)));
+    assert_eq!((other.needs[0].slots, other.waiting_tier), (0.0, None));
 }
--- a/components/policy/examples/patterns/driver/node.rs
+++ b/components/policy/examples/patterns/driver/node.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use fleet::share::{Claim, Need, Past, Pool, Voice};
+use fleet::share::{Claim, Freshness, History, Need, Pool};
 use policy::{Class, Limits, Policy, Scheduler, Server, Share, Workspace};
 use slotmap::{SecondaryMap, SlotMap};
 
@@ -53,21 +53,21 @@
 impl Word {
     fn claim(&self, node: usize, server: usize, now: f64) -> Claim {
         let age = now - self.at;
-        let voice = match age {
-            _ if age < FRESH => Voice::Fresh,
-            _ if age < SILENT => Voice::Stale,
-            _ => Voice::Silent,
+        let freshness = match age {
+            _ if age < FRESH => Freshness::Fresh,
+            _ if age < SILENT => Freshness::Stale,
+            _ => Freshness::Unreachable,
         };
         let all: u32 = self.tiers.iter().map(|(sent, _)| sent).sum();
         let part = f64::from(self.sent[server]) / f64::from(all.max(1));
         let need = |(tier, (sent, waiting)): (usize, &(u32, u32))| Need {
             tier: tier as u8,
-            places: f64::from(*sent) * part + f64::from(*waiting) / SERVERS as f64,
+            slots: f64::from(*sent) * part + f64::from(*waiting) / SERVERS as f64,
         };
         let needs = self.tiers.iter().enumerate().map(need).collect();
         let waiting = self.tiers.iter().position(|(_, waiting)| *waiting > 0);
         let (sent, waiting) = (self.sent[server], waiting.map(|tier| tier as u8));
-        Claim { node: node as u32, voice, needs, sent, waiting }
+        Claim { node: node as u32, freshness, needs, in_flight: sent, waiting_tier: waiting }
     }
 }
 
@@ -77,7 +77,7 @@
     pub ranks: bool,
     pub sent: [u32; SERVERS],
     pub heard: [Option<Word>; NODES],
-    past: Past<Word>,
+    past: History<Word>,
     pub asleep: f64,
     /// When the decisions are next asked though nothing happens.
     pub planned: f64,
@@ -107,7 +107,7 @@
             ranks,
             sent: [0; SERVERS],
             heard,
-            past: Past::default(),
+            past: History::default(),
             asleep: 0.0,
             planned: 0.0,
         }
@@ -115,7 +115,7 @@
 
     /// Divides the servers' places as routers do, by what was heard.
     pub fn divide(&mut self, keys: &Keys, node: usize, own: &Word, now: Instant) {
-        self.past.push(now, own.clone());
+        self.past.record(now, own.clone());
         let nobody = Word { at: own.at, sent: [0; SERVERS], tiers: [(0, 0); TIERS] };
         let settled = self.past.settled(now).unwrap_or(&nobody);
         let heard = self.heard.iter().enumerate().filter_map(|(i, word)| Some((i, word.as_ref()?)));
@@ -123,10 +123,10 @@
         for server in 0..SERVERS {
             let peers: Vec<_> = heard.iter().map(|(i, w)| w.claim(*i, server, own.at)).collect();
             let mine = Word { at: own.at, ..settled.clone() }.claim(node, server, own.at);
-            let need = own.claim(node, server, own.at).needs.iter().map(|need| need.places).sum();
+            let need = own.claim(node, server, own.at).needs.iter().map(|need| need.slots).sum();
             let pool = Pool::new(server as u32 * 7_919, SLOTS, Duration::from_secs_f64(own.at));
             let share = pool.share(&mine, need, &peers);
-            let (places, sent, waiting) = (share.places, share.sent, share.waiting);
+            let (places, sent, waiting) = (share.slots, share.peers_in_flight, share.waiting_tier);
             self.policy.set_share(
                 keys.servers[server],
                 Share { slots: places, sent, waiting },
--- a/components/router/src/cells.rs
+++ b/components/router/src/cells.rs
@@ -4,7 +4,7 @@
 use std::hash::{DefaultHasher, Hash, Hasher};
 
 use clock::Clock;
-use fleet::cells::{Division, Place, Size, divide};
+use fleet::cells::{Division, Member, Size, divide};
 use policy::{Policy, Share};
 use settings::Effective;
 
@@ -72,7 +72,7 @@
     let mates = division.nodes.iter().filter(|(_, held)| **held == cell).map(|(key, _)| *key);
     let mates: BTreeSet<u32> = mates.collect();
     log::info!(cell = cell, of = division.count, nodes = mates.len(); "cell");
-    state.view.borrow_mut().set_mates(mates);
+    state.view.borrow_mut().set_cell_nodes(mates);
     let servers = servers(&settings, &division, cell);
     let now = state.clock.now();
     let mut scheduler = state.turns.scheduler.borrow_mut();
@@ -92,14 +92,14 @@
 
 fn divided(settings: &Effective, nodes: &[(u32, u32)]) -> Division {
     let nodes: Vec<_> =
-        nodes.iter().map(|(key, domain)| Place { key: *key, domain: *domain, group: 0 }).collect();
+        nodes.iter().map(|(key, domain)| Member { key: *key, domain: *domain, group: 0 }).collect();
     let size = Size { nodes: settings.limits.cell_nodes, servers: settings.limits.cell_servers };
     divide(&nodes, &places(settings), size)
 }
 
 /// Where the servers stand, and what they are dealt out by.
-fn places(settings: &Effective) -> Vec<Place> {
-    let place = |server: &std::rc::Rc<settings::Server>| Place {
+fn places(settings: &Effective) -> Vec<Member> {
+    let place = |server: &std::rc::Rc<settings::Server>| Member {
         key: wire::key(&server.name),
         domain: wire::key(settings.domain_names.name(server.domain)),
         group: server.models.first().map_or(0, |m| wire::key(settings.model_names.name(*m))),
@@ -119,13 +119,14 @@
 }
 
 /// Work of this node's cell by tier, as far as it knows.
-pub(crate) fn sum(state: &State, own: &fleet::exchange::Own) -> Vec<wire::Cell> {
+pub(crate) fn sum(state: &State, own: &fleet::exchange::LocalState) -> Vec<wire::Cell> {
     let Some(settings) = state.settings() else { return vec![] };
     let cells = state.cells.borrow();
     let view = state.view.borrow();
     let now = state.clock.now();
-    let fresh = view.mates().map(|(_, member)| member).filter(|member| view.fresh(member, now));
-    let last = fresh.filter_map(|member| member.last.as_ref());
+    let fresh =
+        view.cell_peers().map(|(_, member)| member).filter(|member| view.is_fresh(member, now));
+    let last = fresh.filter_map(|member| member.last_frame.as_ref());
     let rows: Vec<_> = last.flat_map(|last| &last.demand).chain(&own.demand).copied().collect();
     let servers = cells.servers().filter_map(|(_, key)| settings.servers.get(key));
     let slots: u32 = servers.map(|server| server.slots).sum();
--- a/components/router/src/engines.rs
+++ b/components/router/src/engines.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use clock::Clock;
-use fleet::{Reported, Standing, loads};
+use fleet::{LoadReport, MemberStatus, polling};
 use policy::{Policy, Report};
 use settings::{Effective, ServerKind};
 use slotmap::SecondaryMap;
@@ -41,21 +41,21 @@
     let now = state.clock.now();
     let view = state.view.borrow();
     let own = wire::key(&state.node.name);
-    let alive = view.mates().filter(|(_, m)| view.standing(m, now) == Standing::Alive);
+    let alive = view.cell_peers().filter(|(_, m)| view.status(m, now) == MemberStatus::Alive);
     let alive: Vec<_> = alive.map(|(_, member)| member.key).collect();
     let cells = state.cells.borrow();
     let used =
         cells.servers().filter_map(|(name, key)| Some((name, key, settings.servers.get(key)?)));
     let engines = used.filter(|(_, _, server)| server.kind == ServerKind::Engine);
     let engines: Vec<_> = engines.map(|(name, key, s)| (key, name, &s.address)).collect();
-    let mine = |name: u32| loads::asks(own, alive.iter().copied(), name);
+    let mine = |name: u32| polling::is_poller(own, alive.iter().copied(), name);
     let count = engines.iter().filter(|(_, name, _)| mine(*name)).count();
     let bytes = settings.limits.control_bytes * (100 - FRAMES_PERCENT) / 100;
-    let period = loads::period(count, bytes);
+    let period = polling::poll_period(count, bytes);
     for (key, name, address) in engines {
         let due = asked.get(key).is_none_or(|at| now - *at >= period);
         let held = view.loads().find(|reported| reported.load.server == name);
-        let overdue = held.is_none_or(|held| now - held.at > period * OVERDUE);
+        let overdue = held.is_none_or(|held| now - held.measured_at > period * OVERDUE);
         if due && (overdue || mine(name)) {
             asked.insert(key, now);
             actix_rt::spawn(ask(state.clone(), name, address.clone()));
@@ -67,8 +67,8 @@
     let engines = state.engines.borrow().clone();
     let Ok(load) = engines.load(&address, ANSWER).await else { return };
     let now = state.clock.now();
-    let reported = Reported {
-        at: now.checked_sub(Duration::from_millis(load.age_ms)).unwrap_or(now),
+    let reported = LoadReport {
+        measured_at: now.checked_sub(Duration::from_millis(load.age_ms)).unwrap_or(now),
         load: wire::Load {
             server,
             age_ms: 0,
@@ -79,18 +79,18 @@
             leaving: load.leaving,
         },
     };
-    if state.view.borrow_mut().reported(reported) {
+    if state.view.borrow_mut().record_load(reported) {
         take(&state, &reported);
         state.turns.pump();
     }
 }
 
 /// Hands a report to the decisions.
-pub(crate) fn take(state: &State, reported: &Reported) {
+pub(crate) fn take(state: &State, reported: &LoadReport) {
     let load = &reported.load;
     let Some(key) = state.cells.borrow().server(load.server) else { return };
     let report = Report {
-        at: reported.at,
+        at: reported.measured_at,
         running: load.running,
         queued: load.queued,
         slots: load.slots,
--- a/components/router/src/follow.rs
+++ b/components/router/src/follow.rs
@@ -32,12 +32,12 @@
                 leave(&state, &vms);
                 let entries = vms.into_iter().filter(|vm| vm.role == Role::Entry);
                 let others = entries.filter(|vm| vm.name != state.node.name);
-                let listed = others.map(|vm| fleet::Listed {
+                let listed = others.map(|vm| fleet::ListedVm {
                     name: vm.name,
                     address: vm.address,
                     domain: vm.domain,
                 });
-                state.view.borrow_mut().listed(listed, state.clock.now());
+                state.view.borrow_mut().apply_list(listed, state.clock.now());
             }
             Err(cause) => log::warn!(cause:% = cause; "can't read the list of VMs"),
         }
--- a/components/router/src/operators.rs
+++ b/components/router/src/operators.rs
@@ -35,7 +35,8 @@
     let now = state.clock.now();
     let view = state.view.borrow();
     let heard = |at: Instant| now.saturating_duration_since(at) < LATELY;
-    let peers = view.members().filter(|(_, member)| member.heard.is_some_and(heard)).count();
+    let peers =
+        view.members().filter(|(_, member)| member.last_received.is_some_and(heard)).count();
     let settings = state.settings();
     state.metrics.peers(peers);
     let held = state.turns.scheduler.borrow().current_demand();
@@ -54,7 +55,7 @@
     let view = state.view.borrow();
     let servers = settings.iter().flat_map(|settings| &settings.servers);
     let servers = servers.map(|(key, server)| {
-        let peers = view.sent(&server.name, now);
+        let peers = view.peers_in_flight(&server.name, now);
         self::server(server, scheduler.status(key, now), peers)
     });
     let held = scheduler.current_demand();
@@ -67,7 +68,7 @@
         })
     });
     let members = view.members().map(|(name, member)| {
-        let silent = member.heard.map(|at| ms(now.saturating_duration_since(at)));
+        let silent = member.last_received.map(|at| ms(now.saturating_duration_since(at)));
         json!({"name": name, "address": member.address, "heard_ms_ago": silent})
     });
     json!({
--- a/components/router/src/orders.rs
+++ b/components/router/src/orders.rs
@@ -9,7 +9,7 @@
 use clock::Clock;
 use engine::orders::{Content, Orders, Taken};
 use fleet::orders::{self, Engine, Issuer, Limits, Order};
-use fleet::{Standing, loads};
+use fleet::{MemberStatus, polling};
 use settings::{Effective, Role, Server, ServerKind};
 
 use crate::state::State;
@@ -59,10 +59,10 @@
 fn issues(state: &State) -> bool {
     let now = state.clock.now();
     let view = state.view.borrow();
-    let alive = view.mates().filter(|(_, m)| view.standing(m, now) == Standing::Alive);
-    let alive = alive.filter(|(_, member)| !member.leaving()).map(|(_, member)| member.key);
+    let alive = view.cell_peers().filter(|(_, m)| view.status(m, now) == MemberStatus::Alive);
+    let alive = alive.filter(|(_, member)| !member.is_leaving()).map(|(_, member)| member.key);
     let cell = wire::key(&format!("orders of cell {}", state.cells.borrow().own()));
-    !state.draining.get() && loads::asks(wire::key(&state.node.name), alive, cell)
+    !state.draining.get() && polling::is_poller(wire::key(&state.node.name), alive, cell)
 }
 
 async fn look(
@@ -80,16 +80,16 @@
     let now = state.clock.now();
     let limits = limits(state, settings);
     let issuer = issuer.get_or_insert_with(|| Issuer::new(limits, now));
-    for order in issuer.orders(&engines, settings.revision, limits, now) {
+    for order in issuer.issue_orders(&engines, settings.revision, limits, now) {
         let server = order.server;
         if !give(client, &ordered[&server], order).await {
-            issuer.failed(server);
+            issuer.record_failure(server);
         }
     }
     let changing: BTreeSet<u32> = issuer.changing().collect();
     let unfit = engines.iter().filter(|engine| {
         let fenced = ordered[&engine.server].fenced;
-        !orders::routable(engine, fenced, changing.contains(&engine.server))
+        !orders::is_routable(engine, fenced, changing.contains(&engine.server))
     });
     *state.unfit.borrow_mut() = unfit.map(|engine| engine.server).collect();
 }
@@ -116,7 +116,7 @@
         let now = state.clock.now();
         let met = {
             let engine = engine(*name, server, settings, seen);
-            engine.shown.is_some_and(|shown| shown.meets(&engine.want))
+            engine.shown.is_some_and(|shown| shown.satisfies(&engine.wanted))
         };
         let period = if met { CHECK } else { READ };
         if seen.get(name).is_some_and(|seen| now - seen.at < period) {
@@ -150,15 +150,15 @@
     let bytes = content.map_or(0, |content| content.load_bytes);
     Engine {
         server: name,
-        want: orders::Content {
+        wanted: orders::Content {
             models: models.collect(),
             adapters: server.adapters.iter().cloned().collect(),
             version: server.version.clone(),
             role: role.to_string(),
         },
         shown,
-        taken: content.and_then(|content| content.fence),
-        bytes: if bytes == 0 { WEIGHTS } else { bytes },
+        accepted_fence: content.and_then(|content| content.fence),
+        load_bytes: if bytes == 0 { WEIGHTS } else { bytes },
     }
 }
 
@@ -174,10 +174,10 @@
 /// Gives an order; returns whether the engine answered.
 async fn give(client: &Orders, server: &Server, order: Order) -> bool {
     let content = Content {
-        models: order.want.models.into_iter().collect(),
-        adapters: order.want.adapters.into_iter().collect(),
-        version: order.want.version,
-        role: order.want.role,
+        models: order.wanted.models.into_iter().collect(),
+        adapters: order.wanted.adapters.into_iter().collect(),
+        version: order.wanted.version,
+        role: order.wanted.role,
         fence: Some(order.fence),
         load_bytes: 0,
     };
--- a/components/router/src/peers.rs
+++ b/components/router/src/peers.rs
@@ -5,7 +5,7 @@
 
 use actix_http::{HttpMessage, Request, Response, StatusCode};
 use clock::Clock;
-use fleet::exchange::{ANSWER_HEAD, Own, REQUEST_HEAD, Target};
+use fleet::exchange::{ANSWER_OVERHEAD_BYTES, LocalState, REQUEST_OVERHEAD_BYTES, Target};
 use policy::Scheduler;
 use settings::Effective;
 use subtle::ConstantTimeEq;
@@ -61,8 +61,8 @@
     let frame = frame(&state, &peer);
     let bytes = frame.encode();
     let mut exchange = state.exchange.borrow_mut();
-    exchange.spent(bytes.len() + ANSWER_HEAD);
-    exchange.told(&peer, &frame, state.clock.now());
+    exchange.record_sent(bytes.len() + ANSWER_OVERHEAD_BYTES);
+    exchange.record_delivery(&peer, &frame, state.clock.now());
     Response::build(StatusCode::OK).body(bytes).map_into_boxed_body()
 }
 
@@ -71,14 +71,14 @@
         return;
     }
     let mut view = state.view.borrow_mut();
-    view.heard(theirs, state.clock.now());
-    let news = view.news();
+    view.receive(theirs, state.clock.now());
+    let news = view.take_load_updates();
     drop(view);
     news.iter().for_each(|reported| engines::take(state, reported));
 }
 
 /// What this node tells of itself now.
-pub(crate) fn own(state: &State) -> Own {
+pub(crate) fn own(state: &State) -> LocalState {
     let settings = state.settings();
     let scheduler = state.turns.scheduler.borrow();
     let cells = state.cells.borrow();
@@ -99,7 +99,7 @@
         row.waiting += work.waiting;
         row.in_flight += work.sent;
     }
-    Own {
+    LocalState {
         name: state.node.name.clone(),
         address: state.address.borrow().clone(),
         domain: state.node.domain.clone(),
@@ -107,9 +107,9 @@
         revision: settings.as_ref().map_or(0, |settings| settings.revision),
         digest: settings.as_ref().map_or(0, |settings| settings.digest),
         leaving: state.draining.get(),
-        sent: counts.filter(|sent| sent.count > 0).collect(),
+        in_flight: counts.filter(|row| row.count > 0).collect(),
         demand,
-        waits: waits(settings.as_deref(), &scheduler),
+        queued: waits(settings.as_deref(), &scheduler),
         workspaces: workspaces(settings.as_deref(), &scheduler),
         suspects: state.unfit.borrow().iter().copied().collect(),
         cells: vec![],
@@ -138,7 +138,7 @@
     let mut own = own(state);
     own.cells = cells::sum(state, &own);
     let view = state.view.borrow();
-    state.exchange.borrow_mut().frame(&own, to, &view, state.clock.now())
+    state.exchange.borrow_mut().build_frame(&own, to, &view, state.clock.now())
 }
 
 async fn exchange(weak: Weak<State>) {
@@ -157,10 +157,10 @@
     }
 }
 
-fn targets(state: &State, own: &Own, period: Duration) -> Vec<Target> {
+fn targets(state: &State, own: &LocalState, period: Duration) -> Vec<Target> {
     let now = state.clock.now();
     let mut view = state.view.borrow_mut();
-    view.tick(now, period);
+    view.record_tick(now, period);
     if view.members().next().is_none() {
         let seeds = state.node.seeds.iter();
         return seeds
@@ -171,20 +171,20 @@
     if let Some(settings) = state.settings() {
         exchange.set_rate(settings.limits.control_bytes * FRAMES_PERCENT / 100);
     }
-    exchange.targets(own, &view, now)
+    exchange.next_targets(own, &view, now)
 }
 
 async fn tell(state: Rc<State>, target: Target) {
     let frame = frame(&state, &target.name);
     let bytes = frame.encode();
-    state.exchange.borrow_mut().spent(bytes.len() + REQUEST_HEAD);
+    state.exchange.borrow_mut().record_sent(bytes.len() + REQUEST_OVERHEAD_BYTES);
     let request = state.http.post(format!("http://{}/frame", target.address)).timeout(ANSWER);
     let request = request.insert_header((SECRET, state.node.secret.clone()));
     let Ok(mut response) = request.send_body(bytes).await else { return };
     if let Ok(body) = response.body().limit(LARGEST).await
         && let Ok(theirs) = Frame::decode(&body)
     {
-        state.exchange.borrow_mut().told(&target.name, &frame, state.clock.now());
+        state.exchange.borrow_mut().record_delivery(&target.name, &frame, state.clock.now());
         heard(&state, theirs);
     }
 }
--- a/components/router/src/revisions/follow.rs
+++ b/components/router/src/revisions/follow.rs
@@ -224,7 +224,9 @@
     let mut higher: Vec<(Shown, SocketAddr)> = vec![];
     let now = state.clock.now();
     for (name, member) in state.view.borrow().members() {
-        let Some(frame) = member.last.as_ref().filter(|frame| frame.revision > 0) else { continue };
+        let Some(frame) = member.last_frame.as_ref().filter(|frame| frame.revision > 0) else {
+            continue;
+        };
         let shown = Shown { revision: frame.revision, digest: frame.digest };
         let Ok(address) = member.address.parse() else { continue };
         let older = known(state).revision > shown.revision;
--- a/components/router/src/shares.rs
+++ b/components/router/src/shares.rs
@@ -4,7 +4,7 @@
 
 use clock::Clock;
 use fleet::claims::{self, Target};
-use fleet::exchange::Own;
+use fleet::exchange::LocalState;
 use fleet::share::Pool;
 use policy::Policy;
 use slotmap::SecondaryMap;
@@ -12,12 +12,12 @@
 use crate::state::State;
 
 /// Works out this node's share of each server and hands it to the decisions.
-pub(crate) fn apply(state: &State, own: &Own) {
+pub(crate) fn apply(state: &State, own: &LocalState) {
     let Some(settings) = state.settings() else { return };
     let now = state.clock.now();
     let mut past = state.past.borrow_mut();
-    past.push(now, own.clone());
-    let nobody = Own { name: own.name.clone(), ..Default::default() };
+    past.record(now, own.clone());
+    let nobody = LocalState { name: own.name.clone(), ..Default::default() };
     let settled = past.settled(now).unwrap_or(&nobody);
     let view = state.view.borrow();
     let cells = state.cells.borrow();
@@ -25,8 +25,11 @@
     let used =
         || cells.servers().filter_map(|(name, key)| Some((name, key, settings.servers.get(key)?)));
     let mut unfit = state.unfit.borrow().clone();
-    let fresh = view.mates().map(|(_, member)| member).filter(|member| view.fresh(member, now));
-    unfit.extend(fresh.filter_map(|member| member.last.as_ref()).flat_map(|last| &last.suspects));
+    let fresh =
+        view.cell_peers().map(|(_, member)| member).filter(|member| view.is_fresh(member, now));
+    unfit.extend(
+        fresh.filter_map(|member| member.last_frame.as_ref()).flat_map(|last| &last.suspects),
+    );
     // What waits counts at each server by the server's part of all places.
     let mut all = 0.0;
     let mut by_model: SecondaryMap<ids::Model, f64> = SecondaryMap::new();
@@ -48,21 +51,25 @@
             (wire::key(settings.model_names.name(*model)), slots / by_model[*model])
         };
         let models = server.models.iter().map(part).collect();
-        let target = Target { server: name, part: slots / all, models };
-        let peers = claims::peers(&view, &target, now);
-        let claimed = claims::own(settled, &target);
-        let need = claims::own(own, &target).needs.iter().map(|need| need.places).sum();
+        let target = Target { server: name, fraction: slots / all, models };
+        let peers = claims::peer_claims(&view, &target, now);
+        let claimed = claims::own_claim(settled, &target);
+        let need = claims::own_claim(own, &target).needs.iter().map(|need| need.slots).sum();
         let share = Pool::new(name, server.slots, since_1970).share(&claimed, need, &peers);
-        let share = policy::Share { slots: share.places, sent: share.sent, waiting: share.waiting };
+        let share = policy::Share {
+            slots: share.slots,
+            sent: share.peers_in_flight,
+            waiting: share.waiting_tier,
+        };
         scheduler.set_share(key, share, now);
     }
     for (key, workspace) in settings.workspaces.iter().filter(|(_, w)| w.in_flight < u32::MAX) {
         let name = wire::key(&workspace.name);
-        let peers = claims::peers_workspace(&view, name, now);
-        let claimed = claims::own_workspace(settled, name);
+        let peers = claims::peer_workspace_claims(&view, name, now);
+        let claimed = claims::own_workspace_claim(settled, name);
         let need = f64::from(scheduler.in_flight(key) + 1);
         let pool = Pool::new(name, workspace.in_flight, since_1970);
         // At least one, so that no caller waits for a round: `nodes` more at most.
-        scheduler.set_in_flight(key, pool.share(&claimed, need, &peers).places.max(1));
+        scheduler.set_in_flight(key, pool.share(&claimed, need, &peers).slots.max(1));
     }
 }
--- a/components/router/src/state.rs
+++ b/components/router/src/state.rs
@@ -44,7 +44,7 @@
     pub(crate) view: RefCell<fleet::View>,
     pub(crate) exchange: RefCell<fleet::exchange::Exchange>,
     /// What this node told of itself over the last seconds.
-    pub(crate) past: RefCell<fleet::share::Past<fleet::exchange::Own>>,
+    pub(crate) past: RefCell<fleet::share::History<fleet::exchange::LocalState>>,
     pub(crate) cells: RefCell<crate::cells::Cells>,
     /// Servers that get no new work until they show what the settings want.
     pub(crate) unfit: RefCell<std::collections::BTreeSet<u32>>,
