--- a/components/fleet/examples/slopes/model.rs
+++ b/components/fleet/examples/slopes/model.rs
@@ -32,7 +32,6 @@
 /// Part of the calls by tier.
 const TIER_MIX: [f64; 3] = [0.3, 0.3, 0.4];
 
-/// A call.
 #[derive(Clone, Copy)]
 pub struct Call {
     tier: usize,
@@ -69,20 +68,24 @@
 
 #[derive(Default)]
 struct Server {
+    /// Running calls, each with its node and the time of its end.
     running: Vec<(usize, Call, Instant)>,
+    /// Queued calls, each with its node.
     queue: Vec<(usize, Call)>,
 }
 
+/// Sums over the simulated time.
 #[derive(Default)]
 struct Totals {
     calls: [f64; 3],
     attained: [f64; 3],
     useful: f64,
-    time: f64,
-    wasted: f64,
-    most: usize,
-    staleness: f64,
-    samples: f64,
+    served_seconds: f64,
+    wasted_seconds: f64,
+    /// Largest number of calls at a server at once.
+    max_at_server: usize,
+    staleness_ms: f64,
+    staleness_samples: f64,
 }
 
 /// Runs the strategy called `name` at one size.
@@ -128,9 +131,9 @@
 fn fleet(strategy: Strategy, nodes: usize, servers: usize, now: Instant) -> Vec<Node> {
     let domain = |index: usize| format!("domain-{}", index % 3);
     let names: Vec<_> = (0..nodes).map(|n| (format!("entry-{n}"), domain(n))).collect();
-    let place = |key, index: usize| Member { key, domain: (index % 3) as u32, group: 0 };
-    let listed: Vec<_> = (0..nodes).map(|n| place(wire::key(&names[n].0), n)).collect();
-    let engines: Vec<_> = (0..servers).map(|s| place(server_key(s), s)).collect();
+    let member = |key, index: usize| Member { key, domain: (index % 3) as u32, group: 0 };
+    let listed: Vec<_> = (0..nodes).map(|n| member(wire::key(&names[n].0), n)).collect();
+    let engines: Vec<_> = (0..servers).map(|s| member(server_key(s), s)).collect();
     let division = divide(&listed, &engines, Size { nodes: 8, servers: 100 });
     let one = |index| {
         let mut node = Node::new(index, strategy, BYTES_PER_SECOND, now);
@@ -189,9 +192,9 @@
     node.update_local_state();
     node.view.record_tick(now, PERIOD);
     for (_, member) in node.view.cell_peers() {
-        totals.staleness +=
+        totals.staleness_ms +=
             member.last_received.map_or(0.0, |at| (now - at).as_secs_f64() * 1000.0);
-        totals.samples += f64::from(u8::from(member.last_received.is_some()));
+        totals.staleness_samples += f64::from(u8::from(member.last_received.is_some()));
     }
     let targets: Vec<String> = match node.strategy {
         Strategy::Gossip => node.view.members().map(|(name, _)| name.to_string()).collect(),
@@ -252,14 +255,14 @@
     now: Instant,
     totals: &mut Totals,
 ) {
-    totals.most = totals.most.max(engine.running.len() + engine.queue.len());
+    totals.max_at_server = totals.max_at_server.max(engine.running.len() + engine.queue.len());
     let ended: Vec<_> = engine.running.iter().filter(|(_, _, end)| *end <= now).copied().collect();
     engine.running.retain(|(_, _, end)| *end > now);
     for (index, call, _) in ended {
         let node = &mut fleet[index];
         node.in_flight_by_tier[call.tier] -= 1;
         node.in_flight.entry(number).and_modify(|count| *count -= 1);
-        totals.time += call.length.as_secs_f64();
+        totals.served_seconds += call.length.as_secs_f64();
     }
     engine.queue.sort_by_key(|(_, call)| (call.tier, call.arrived));
     while engine.running.len() < SLOTS as usize && !engine.queue.is_empty() {
@@ -269,7 +272,7 @@
         if waited <= USEFUL_SECONDS[call.tier] {
             totals.useful += 1.0;
         } else {
-            totals.wasted += call.length.as_secs_f64();
+            totals.wasted_seconds += call.length.as_secs_f64();
         }
         engine.running.push((index, call, now + call.length));
     }
@@ -296,23 +299,23 @@
         bytes: bytes as f64 / seconds / count,
         core_percent: 100.0 * cpu_seconds / seconds / count,
         state_kib: memory / count,
-        staleness_ms: totals.staleness / totals.samples.max(1.0),
+        staleness_ms: totals.staleness_ms / totals.staleness_samples.max(1.0),
         attained: [attained(0), attained(1), attained(2)],
         goodput: totals.useful / seconds / count,
-        waste: 100.0 * totals.wasted / totals.time.max(1.0),
-        overrun: totals.most as f64 / f64::from(SLOTS),
+        waste: 100.0 * totals.wasted_seconds / totals.served_seconds.max(1.0),
+        overrun: totals.max_at_server as f64 / f64::from(SLOTS),
     }
 }
 
 /// Measures the time that dividing a fleet into cells takes.
 pub fn measure_division((nodes, servers): (usize, usize)) -> serde_json::Value {
-    let place = |kind: &str, index: usize| Member {
+    let member = |kind: &str, index: usize| Member {
         key: wire::key(&format!("{kind}-{index}")),
         domain: (index % 9) as u32,
         group: (index / 9 % 9) as u32,
     };
-    let listed: Vec<_> = (0..nodes).map(|n| Member { group: 0, ..place("entry", n) }).collect();
-    let engines: Vec<_> = (0..servers).map(|s| place("engine", s)).collect();
+    let listed: Vec<_> = (0..nodes).map(|n| Member { group: 0, ..member("entry", n) }).collect();
+    let engines: Vec<_> = (0..servers).map(|s| member("engine", s)).collect();
     let began = Instant::now();
     let cells = divide(&listed, &engines, Size { nodes: 8, servers: 100 }).count;
     let ms = began.elapsed().as_secs_f64() * 1000.0;
--- a/components/fleet/tests/cells.rs
+++ b/components/fleet/tests/cells.rs
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn can_be_one_cell_today() {
+fn can_use_one_cell_for_a_small_fleet() {
     for (nodes, servers) in [(7, 15), (7, 12), (1, 1), (0, 0), (15, 99)] {
         let division =
             divide(&members("entry", nodes, 3, 1), &members("engine", servers, 3, 3), SIZE);
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn can_be_of_even_size() {
+fn can_make_cells_of_even_size() {
     let (_, _, division) = large_fleet();
     assert_eq!(division.count, CELL_COUNT);
     let nodes = size_range(&division.nodes, CELL_COUNT);
@@ -77,7 +77,7 @@
 // In a large fleet nodes are replaced 540 times a day. If each replacement moved many other nodes, peers
 // would lose what they know of each other faster than they can report it again.
 #[test]
-fn can_move_few_when_a_node_is_replaced() {
+fn can_move_few_nodes_when_one_is_replaced() {
     let (nodes, servers, division) = large_fleet();
     let mut total = 0;
     let mut worst = 0;
--- a/components/fleet/tests/exchange.rs
+++ b/components/fleet/tests/exchange.rs
@@ -7,7 +7,7 @@
 use wire::{Frame, InFlight, key};
 
 const PERIOD: Duration = Duration::from_millis(500);
-const RATE: u32 = 1_200;
+const BYTES_PER_SECOND: u32 = 1_200;
 
 struct Node {
     local: LocalState,
@@ -26,7 +26,7 @@
         let mut view = View::new();
         view.apply_list((0..count).filter(|other| *other != index).map(listed), now);
         let local = LocalState { name: name(index), incarnation: 1, ..Default::default() };
-        Node { local, view, exchange: Exchange::new(RATE, now) }
+        Node { local, view, exchange: Exchange::new(BYTES_PER_SECOND, now) }
     };
     (0..count).map(node).collect()
 }
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn can_tell_everyone_what_is_in_flight() {
+fn can_report_requests_in_flight_to_all() {
     let mut now = Instant::now();
     let mut nodes = fleet(7, now);
     for (index, node) in nodes.iter_mut().enumerate() {
@@ -96,7 +96,7 @@
 // At every node the counts of a hundred servers change between any two frames. The exchange must keep to
 // its budget all the same, and every server's count must be reported at some time.
 #[test]
-fn can_keep_its_budget_when_everything_moves() {
+fn can_keep_to_its_budget_when_all_counts_change() {
     let mut now = Instant::now();
     let mut nodes = fleet(8, now);
     let seconds = 120;
@@ -112,7 +112,10 @@
     }
     for node in &nodes {
         let rate = node.exchange.bytes_sent() / seconds;
-        assert!(rate <= u64::from(RATE) + u64::from(RATE) / 10, "{rate} bytes a second");
+        assert!(
+            rate <= u64::from(BYTES_PER_SECOND) + u64::from(BYTES_PER_SECOND) / 10,
+            "{rate} bytes a second"
+        );
         for (_, member) in node.view.members() {
             assert!(
                 member.in_flight.len() == 100,
@@ -126,7 +129,7 @@
 // Frames in one direction are lost for a while, so that their sender can't know what has arrived. Counts
 // that it wrongly considers reported must be corrected without further action.
 #[test]
-fn can_heal_after_lost_frames() {
+fn can_correct_counts_after_lost_frames() {
     let mut now = Instant::now();
     let mut nodes = fleet(3, now);
     for step in 0..60 {
@@ -167,7 +170,7 @@
 // A node is told to stop. If it reported that to its peers only in turn, the division of slots would
 // include it for seconds longer than necessary.
 #[test]
-fn can_tell_all_at_once_that_it_leaves() {
+fn can_report_to_all_at_once_that_it_leaves() {
     let mut now = Instant::now();
     let mut nodes = fleet(7, now);
     for _ in 0..10 {
@@ -187,13 +190,13 @@
 // through the few exchanges between them, or callers would be refused although servers are free. What
 // passes between cells must not grow with their numbers of servers.
 #[test]
-fn can_tell_another_cell_of_room() {
+fn can_report_free_slots_to_another_cell() {
     let mut now = Instant::now();
     let mut nodes = fleet(8, now);
     for (index, node) in nodes.iter_mut().enumerate() {
         let cell = index / 4;
-        let mates = (0..4).map(|mate| key(&format!("entry-{}", cell * 4 + mate)));
-        node.view.set_cell_nodes(mates.collect());
+        let cell_nodes = (0..4).map(|index| key(&format!("entry-{}", cell * 4 + index)));
+        node.view.set_cell_nodes(cell_nodes.collect());
         node.local.in_flight =
             (0..80).map(|s| InFlight { key: key(&format!("engine-{s}")), count: 3 }).collect();
         let row = wire::Cell { cell: cell as u32, age_ms: 0, tier: 1, waiting: 0, free: 9 };
--- a/components/fleet/tests/orders.rs
+++ b/components/fleet/tests/orders.rs
@@ -29,7 +29,7 @@
 // A revision wants a new version on all ten engines of a model. If all reloaded together, no engine would
 // serve the model; orders must be issued two at a time, and none twice to an engine.
 #[test]
-fn can_change_a_pool_bit_by_bit() {
+fn can_change_a_pool_in_parts() {
     let mut now = Instant::now();
     let mut engines = pool(10, &["small"]);
     let mut issuer = Issuer::new(LIMITS, now);
@@ -106,7 +106,7 @@
 // A newer revision wants other content while an order for the previous one is in progress. The engine must
 // get the new order at once, with the newer fencing number.
 #[test]
-fn can_overtake_its_own_order() {
+fn can_supersede_its_own_order() {
     let now = Instant::now();
     let mut engines = pool(5, &["small"]);
     let mut issuer = Issuer::new(LIMITS, now);
@@ -124,7 +124,7 @@
 // An issuer resumes after a pause and gives orders for an old revision. An engine that ignores fencing
 // numbers obeys; if it got new work, it would answer callers with the wrong version.
 #[test]
-fn can_keep_work_from_an_engine_that_holds_the_wrong_thing() {
+fn can_keep_work_from_an_engine_with_the_wrong_content() {
     let engine = pool(1, &["small"]).remove(0);
     let table = [
         (true, false, true, "fenced and not in change: its order hasn't been given yet"),
--- a/components/fleet/tests/share.rs
+++ b/components/fleet/tests/share.rs
@@ -55,7 +55,7 @@
 // Seven nodes share a server with four slots: each has little more than half a slot. A node whose part were
 // always rounded down could never use the server.
 #[test]
-fn can_give_each_node_its_turn_where_places_are_few() {
+fn can_rotate_slots_among_more_nodes_than_slots() {
     let claims: Vec<_> = (1..=7).map(|node| claim(node, 0, 4.0, 0)).collect();
     let mut longest = [0; 7];
     let mut since = [0; 7];
@@ -84,7 +84,7 @@
 // A node becomes unreachable: it may have failed, or be on the other side of a partition and as busy as
 // before. The others may use only half of its slots.
 #[test]
-fn can_take_half_of_a_silent_nodes_places() {
+fn can_use_half_of_an_unreachable_nodes_slots() {
     let claims: Vec<_> = (1..=4).map(|node| claim(node, 0, 20.0, 0)).collect();
     let claims = claims_from_side(&claims, |node| node != 4);
     let pool = Pool { key: 5, slots: 16, round: 0 };
@@ -94,7 +94,7 @@
 // A leaving node accepts no new work, so the others get its slots at once, except those of its requests in
 // flight.
 #[test]
-fn can_take_all_of_a_leaving_nodes_places() {
+fn can_use_all_of_a_leaving_nodes_slots() {
     let mut claims = [claim(1, 0, 20.0, 0), claim(2, 0, 20.0, 2)];
     claims[1].freshness = Freshness::Leaving;
     let share = Pool { key: 5, slots: 8, round: 0 }.share(&claims[0], 0.0, &claims[1..]);
@@ -124,7 +124,7 @@
 
     // All nodes receive each other's reports: the shares must not exceed the server's slots.
     #[test]
-    fn can_never_overrun_together(claims in any_claims(), slots in 1u32..40, key: u32, round in 0u64..9999) {
+    fn can_keep_all_shares_within_the_slots(claims in any_claims(), slots in 1u32..40, key: u32, round in 0u64..9999) {
         let sum: u32 = shares(Pool { key, slots, round }, &claims).iter().sum();
         prop_assert!(sum <= slots, "{sum} of {slots}");
     }
@@ -132,7 +132,7 @@
     // The fleet splits into up to four sides for an hour, and the nodes of each side claim as much as they can. The
     // overload of a server makes requests queue at engines, and must be at most half its slots.
     #[test]
-    fn can_bound_the_overrun_of_a_partition(
+    fn can_bound_the_overload_in_a_partition(
         claims in any_claims(), slots in 1u32..40, key: u32, round in 0u64..9999, sides in 2u32..5,
     ) {
         let mut sum = 0;
@@ -149,7 +149,7 @@
 
     // Demand changes on all nodes at once, and none has received the others' reports of it yet.
     #[test]
-    fn can_bound_the_overrun_of_moving_demand(
+    fn can_bound_the_overload_when_demand_changes(
         claims in any_claims(), slots in 1u32..40, key: u32, round in 0u64..9999,
     ) {
         let nodes = claims.len() as u32;
@@ -165,7 +165,7 @@
 // Bookings for another model are queued on another node. They can't use this server, so they must neither
 // claim its slots nor hold back its callers.
 #[test]
-fn can_tell_models_apart() {
+fn can_distinguish_models() {
     let target = fleet::claims::Target { server: 5, fraction: 0.5, models: vec![(1, 1.0)] };
     let row = wire::Demand { tier: 0, waiting: 9, in_flight: 0 };
     let queued = |model| vec![wire::Queued { model, tier: 0, count: 9 }];
--- a/components/fleet/tests/view.rs
+++ b/components/fleet/tests/view.rs
@@ -67,7 +67,7 @@
 // A link fails in one direction: no frames of `b` arrive here, but they do at `c`. If `b` were dropped, its
 // slots would go to others while it still fills them.
 #[test]
-fn can_hear_of_a_member_through_another() {
+fn can_receive_signs_of_life_through_another() {
     let mut now = Instant::now();
     let mut view = View::new();
     view.apply_list(list(&["b", "c"]), now);
@@ -85,7 +85,7 @@
 // A member fails, and the others pass on its last sign of life. The sign's age must grow while it is passed
 // on; otherwise the member would count as alive for ever, and its slots would stay unused.
 #[test]
-fn can_let_rumours_of_the_dead_grow_old() {
+fn can_age_signs_of_life_that_are_passed_on() {
     let mut now = Instant::now();
     let mut view = View::new();
     view.apply_list(list(&["b", "c"]), now);
@@ -126,7 +126,7 @@
 // This process is paused for a minute and resumes. Its peers were healthy all the time; if it considered
 // them unreachable, it would push the servers over their limit with its own work.
 #[test]
-fn can_blame_itself_after_a_pause() {
+fn can_keep_peers_alive_after_its_own_pause() {
     let mut now = Instant::now();
     let mut view = View::new();
     view.apply_list(list(&["b"]), now);
@@ -149,7 +149,7 @@
 // A process is replaced under its old name. Late frames of the earlier process report requests that no
 // longer exist.
 #[test]
-fn can_tell_process_starts_apart() {
+fn can_distinguish_process_starts() {
     let now = Instant::now();
     let mut view = View::new();
     view.apply_list(list(&["b"]), now);
@@ -167,7 +167,7 @@
 // The list lags by an hour while a node is replaced under a new name. Until the list contains the new node,
 // it is known by its own frames, and removed a minute after the last of them.
 #[test]
-fn can_meet_a_member_that_no_list_names() {
+fn can_add_a_member_that_is_not_listed() {
     let mut now = Instant::now();
     let mut view = View::new();
     view.apply_list(list(&["b"]), now);
@@ -182,7 +182,7 @@
 // A faulty peer passes on signs of life with wrong ages. The worst effect may be that a failed member's
 // slots stay reserved.
 #[test]
-fn can_bear_a_lying_peer() {
+fn can_tolerate_wrong_ages_from_a_peer() {
     let mut now = Instant::now();
     let mut view = View::new();
     view.apply_list(list(&["b", "c", "d"]), now);
--- a/components/wire/src/updates.rs
+++ b/components/wire/src/updates.rs
@@ -110,9 +110,9 @@
     /// hundreds of nodes may receive them at once over a narrow link.
     #[derive(Default, Serialize, Deserialize)]
     pub struct Items {
-        /// Length of the list after decompression, in bytes; none if it isn't compressed.
+        /// Length of the list before compression, in bytes; none if it isn't compressed.
         #[serde(rename = "n", default)]
-        inflated_bytes: Option<u32>,
+        raw_len: Option<u32>,
         /// The list as MessagePack, compressed or not; no bytes for an empty list.
         #[serde(rename = "d")]
         bytes: ByteBuf,
@@ -166,12 +166,12 @@
         }
         let plain = rmp_serde::to_vec_named(list).expect("plain fields");
         if plain.len() < MIN_DEFLATED_BYTES {
-            return Items { inflated_bytes: None, bytes: plain.into() };
+            return Items { raw_len: None, bytes: plain.into() };
         }
         let mut encoder = DeflateEncoder::new(Vec::new(), Compression::fast());
         encoder.write_all(&plain).expect("memory takes it");
         let bytes = encoder.finish().expect("memory takes it").into();
-        Items { inflated_bytes: Some(plain.len() as u32), bytes }
+        Items { raw_len: Some(plain.len() as u32), bytes }
     }
 
     /// Decodes the list.
@@ -182,11 +182,9 @@
         if self.bytes.is_empty() {
             return Ok(vec![]);
         }
-        let Some(inflated_bytes) = self.inflated_bytes else {
-            return Ok(rmp_serde::from_slice(&self.bytes)?);
-        };
+        let Some(len) = self.raw_len else { return Ok(rmp_serde::from_slice(&self.bytes)?) };
         // A list that is cut off at the limit can't be decoded, and gives an error.
-        let max_bytes = inflated_bytes.min(MAX_INFLATED_BYTES).into();
+        let max_bytes = len.min(MAX_INFLATED_BYTES).into();
         Ok(rmp_serde::from_read(DeflateDecoder::new(self.bytes.as_ref()).take(max_bytes))?)
     }
 }
--- a/components/wire/tests/frame.rs
+++ b/components/wire/tests/frame.rs
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn can_stay_short() {
+fn can_encode_a_frame_in_few_bytes() {
     let empty =
         Frame { in_flight: vec![], demand: vec![], liveness: vec![], loads: vec![], ..frame() };
     let bare = empty.encode().len();
