--- a/components/policy/examples/patterns/driver/node.rs
+++ b/components/policy/examples/patterns/driver/node.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use fleet::share::{Claim, Need, Past, Pool, Voice};
+use fleet::share::{Claim, Freshness, History, Need, Pool};
 use policy::{Class, Limits, Policy, Scheduler, Server, Share, Workspace};
 use slotmap::{SecondaryMap, SlotMap};
 
@@ -56,21 +56,21 @@
     /// The claim of the node on a server's slots, by this report.
     fn claim(&self, node: usize, server: usize, now: f64) -> Claim {
         let age = now - self.at;
-        let voice = match age {
-            _ if age < FRESH_SECONDS => Voice::Fresh,
-            _ if age < DOWN_SECONDS => Voice::Stale,
-            _ => Voice::Silent,
+        let freshness = match age {
+            _ if age < FRESH_SECONDS => Freshness::Fresh,
+            _ if age < DOWN_SECONDS => Freshness::Stale,
+            _ => Freshness::Unreachable,
         };
         let all: u32 = self.tiers.iter().map(|(sent, _)| sent).sum();
         let fraction = f64::from(self.sent[server]) / f64::from(all.max(1));
         let need = |(tier, (sent, waiting)): (usize, &(u32, u32))| Need {
             tier: tier as u8,
-            places: f64::from(*sent) * fraction + f64::from(*waiting) / SERVERS as f64,
+            slots: f64::from(*sent) * fraction + f64::from(*waiting) / SERVERS as f64,
         };
         let needs = self.tiers.iter().enumerate().map(need).collect();
         let waiting = self.tiers.iter().position(|(_, waiting)| *waiting > 0);
         let (sent, waiting) = (self.sent[server], waiting.map(|tier| tier as u8));
-        Claim { node: node as u32, voice, needs, sent, waiting }
+        Claim { node: node as u32, freshness, needs, in_flight: sent, waiting_tier: waiting }
     }
 }
 
@@ -81,7 +81,7 @@
     pub sends_priority: bool,
     pub sent: [u32; SERVERS],
     pub peer_reports: [Option<PeerReport>; NODES],
-    past: Past<PeerReport>,
+    past: History<PeerReport>,
     /// Second until which the node is paused and handles no events.
     pub paused_until: f64,
     /// When the policy is next polled though no event comes.
@@ -112,7 +112,7 @@
             sends_priority,
             sent: [0; SERVERS],
             peer_reports,
-            past: Past::default(),
+            past: History::default(),
             paused_until: 0.0,
             next_poll: 0.0,
         }
@@ -120,7 +120,7 @@
 
     /// Divides the servers' slots among the nodes as routers do, by the peers' reports.
     pub fn divide(&mut self, keys: &Keys, node: usize, own: &PeerReport, now: Instant) {
-        self.past.push(now, own.clone());
+        self.past.record(now, own.clone());
         let empty = PeerReport { at: own.at, sent: [0; SERVERS], tiers: [(0, 0); TIERS] };
         let settled = self.past.settled(now).unwrap_or(&empty);
         let received = self
@@ -134,10 +134,10 @@
                 received.iter().map(|(i, report)| report.claim(*i, server, own.at)).collect();
             let settled_claim =
                 PeerReport { at: own.at, ..settled.clone() }.claim(node, server, own.at);
-            let need = own.claim(node, server, own.at).needs.iter().map(|need| need.places).sum();
+            let need = own.claim(node, server, own.at).needs.iter().map(|need| need.slots).sum();
             let pool = Pool::new(server as u32 * 7_919, SLOTS, Duration::from_secs_f64(own.at));
             let share = pool.share(&settled_claim, need, &peers);
-            let (slots, sent, waiting) = (share.places, share.sent, share.waiting);
+            let (slots, sent, waiting) = (share.slots, share.peers_in_flight, share.waiting_tier);
             self.policy.set_share(keys.servers[server], Share { slots, sent, waiting }, now);
         }
     }
