--- a/components/fleet/src/view.rs
+++ b/components/fleet/src/view.rs
@@ -137,7 +137,7 @@
     }
 
     /// Applies a frame from a peer; returns false if the frame was dropped. A frame of an earlier process
-    /// start is dropped, unless no frame of the later start has arrived for [`UNREACHABLE_AFTER`]: then the
+    /// start is dropped, unless no frame of the later start has arrived for `UNREACHABLE_AFTER`: then the
     /// later one's clock was wrong.
     pub fn receive(&mut self, mut frame: Frame, now: Instant) -> bool {
         self.apply_relayed(&frame, now);
--- a/components/wire/src/updates.rs
+++ b/components/wire/src/updates.rs
@@ -177,7 +177,7 @@
     /// Decodes the list.
     ///
     /// # Errors
-    /// When it can't be decoded, or is longer than its stated length or than [`MAX_INFLATED_BYTES`].
+    /// When it can't be decoded, or is longer than its stated length or than 64 MiB.
     pub fn unpack(&self) -> Result<Vec<Item>, Error> {
         if self.bytes.is_empty() {
             return Ok(vec![]);
