--- a/tests/soak/brittle.rs
+++ b/tests/soak/brittle.rs
@@ -5,8 +5,8 @@
 
 use fakes::{Raw, Step};
 
-use crate::site::store::Store;
-use crate::site::{BRITTLE_PATH, HEAD, ID, post, runner};
+use crate::fixture::store::Store;
+use crate::fixture::{ATTEMPT_ID, BRITTLE_PATH, RESPONSE_HEAD, post, server_entry};
 
 /// Service of these servers.
 const SERVICE: &str = "brittle";
@@ -57,15 +57,16 @@
         let start = self.starts.replace(self.starts.get() + 1);
         let arrivals = self.arrivals.clone();
         let limit = if limited { format!("server-limit: {LIMIT}\r\n") } else { String::new() };
-        let answer = format!("{HEAD}{limit}content-length: 6\r\n\r\nbooked");
-        let raw = Raw::named(ID, move |_| {
+        let answer = format!("{RESPONSE_HEAD}{limit}content-length: 6\r\n\r\nbooked");
+        let raw = Raw::named(ATTEMPT_ID, move |_| {
             if limited {
                 arrivals.borrow_mut().push(Instant::now());
             }
             vec![Step::Run, Step::CrashAt(POISON.to_string()), Step::Write(answer.clone())]
         });
         let raw = raw.await.unwrap();
-        let text = runner(&raw.address(), "ready").replace("\"plain\"", &format!("\"{SERVICE}\""));
+        let text =
+            server_entry(&raw.address(), "ready").replace("\"plain\"", &format!("\"{SERVICE}\""));
         store.put(&format!("servers/b-{start}"), &text);
         self.servers.borrow_mut().push(Server { raw, start });
     }
--- a/tests/soak/main.rs
+++ b/tests/soak/main.rs
@@ -6,9 +6,9 @@
 //! `SOAK_SEEDS=50 cargo test --release --test soak -- --ignored --nocapture` plays many.
 
 mod brittle;
+#[path = "../../platform/tests/fixture/mod.rs"]
+mod fixture;
 mod nodes;
-#[path = "../../platform/tests/site/mod.rs"]
-mod site;
 mod watch;
 mod world;
 
--- a/tests/soak/world.rs
+++ b/tests/soak/world.rs
@@ -11,11 +11,12 @@
 use tokio::net::TcpStream;
 
 use crate::brittle::{self, Brittle};
-use crate::nodes::Node;
-use crate::site::store::{Mood, Store};
-use crate::site::{
-    BRITTLE_ROUTE, CONFIGURATION, ID, KEY, KINDS, Kind, ROUTES, Told, answer, configuration, runner,
+use crate::fixture::store::{Mode, Store};
+use crate::fixture::{
+    API_KEY, ATTEMPT_ID, BRITTLE_ROUTE, CONFIGURATION, KINDS, Kind, ROUTES, Reply, configuration,
+    server_entry, success_response,
 };
+use crate::nodes::Node;
 
 const NODES: usize = 4;
 const CALLERS: usize = 6;
@@ -39,7 +40,7 @@
     kind: Kind,
     brief: bool,
     at: Instant,
-    told: Option<Told>,
+    told: Option<Reply>,
 }
 
 pub struct World {
@@ -69,7 +70,7 @@
 
 /// What a server does with a request: mostly what it should.
 fn script(rng: &mut SmallRng, kind: Kind) -> Vec<Step> {
-    let whole = answer(kind);
+    let whole = success_response(kind);
     let cut = whole.len() * 2 / 3;
     match rng.random_range(0..30) {
         0 => vec![Step::Reset],
@@ -96,10 +97,11 @@
             [Kind::Charge, Kind::Charge, Kind::Stream, Kind::Stream].into_iter().enumerate()
         {
             let dice = RefCell::new(SmallRng::seed_from_u64(rng.random()));
-            let server =
-                Raw::named(ID, move |_| script(&mut dice.borrow_mut(), kind)).await.unwrap();
+            let server = Raw::named(ATTEMPT_ID, move |_| script(&mut dice.borrow_mut(), kind))
+                .await
+                .unwrap();
             let link = Link::start(server.address().parse().unwrap()).await.unwrap();
-            let text = runner(&link.address().to_string(), "ready");
+            let text = server_entry(&link.address().to_string(), "ready");
             let service = if kind == Kind::Stream { "streams" } else { "plain" };
             let text = text.replace("\"plain\"", &format!("\"{service}\""));
             store.put(&format!("servers/i-{index}"), &text);
@@ -117,7 +119,7 @@
             withdrawn: Cell::new(None),
             version: Cell::new(0),
         };
-        world.publish(&[KEY, BRIEF]);
+        world.publish(&[API_KEY, BRIEF]);
         tokio::time::sleep(Duration::from_secs(1)).await;
         world
     }
@@ -140,7 +142,7 @@
         let (start, mut count) = (Instant::now(), 0);
         while start.elapsed() < time {
             if start.elapsed() > time / 4 && self.withdrawn.get().is_none() {
-                self.publish(&[KEY]);
+                self.publish(&[API_KEY]);
                 self.withdrawn.set(Some(Instant::now()));
             }
             self.fault(&mut rng).await;
@@ -174,23 +176,26 @@
             }),
             8 | 9 => link.set(Way::default()),
             10 => {
-                let moods = [Mood::Well, Mood::Busy, Mood::Silent];
-                self.store.set_mood(moods[rng.random_range(0..3)]);
+                let moods = [Mode::Normal, Mode::Rejecting, Mode::Unresponsive];
+                self.store.set_mode(moods[rng.random_range(0..3)]);
             }
             _ => {
-                self.store.set_mood(Mood::Well);
-                let keys =
-                    if self.withdrawn.get().is_some() { vec![KEY] } else { vec![KEY, BRIEF] };
+                self.store.set_mode(Mode::Normal);
+                let keys = if self.withdrawn.get().is_some() {
+                    vec![API_KEY]
+                } else {
+                    vec![API_KEY, BRIEF]
+                };
                 self.publish(&keys);
                 if rng.random() {
-                    self.store.forget();
+                    self.store.drop_history();
                 }
             }
         }
     }
 
     async fn heal(&self) {
-        self.store.set_mood(Mood::Well);
+        self.store.set_mode(Mode::Normal);
         self.links.iter().for_each(|link| link.set(Way::default()));
         for node in &self.nodes {
             node.signal(Signal::CONT);
@@ -236,7 +241,7 @@
     async fn send(&self, node: usize, kind: Kind, id: String, brief: bool) {
         let mut text = kind.request(&id);
         if brief {
-            text = text.replace(KEY, BRIEF);
+            text = text.replace(API_KEY, BRIEF);
         }
         let at = Instant::now();
         let told = tokio::time::timeout(PATIENCE, exchange(self.nodes[node].callers, &text)).await;
@@ -262,8 +267,11 @@
             let promised = [408, 421, 429, 503].contains(&told.status);
             assert!(!promised || kind.repeatable() || runs == 0, "{id} ran; told {told:?}");
             let success = (200..300).contains(&told.status);
-            let ended = success && told.ended;
-            assert!(!ended || told.whole(*kind), "{id}, {kind:?}: a part passed for all: {told:?}");
+            let ended = success && told.complete;
+            assert!(
+                !ended || told.is_full_success(*kind),
+                "{id}, {kind:?}: a part passed for all: {told:?}"
+            );
             whole += u32::from(ended);
             refused += u32::from(promised);
         }
@@ -307,10 +315,10 @@
     }
 }
 
-async fn exchange(address: std::net::SocketAddr, text: &str) -> Option<Told> {
+async fn exchange(address: std::net::SocketAddr, text: &str) -> Option<Reply> {
     let mut stream = TcpStream::connect(address).await.ok()?;
     stream.write_all(text.as_bytes()).await.ok()?;
     let mut bytes = vec![];
     let _ = stream.read_to_end(&mut bytes).await;
-    Some(Told::read(&String::from_utf8_lossy(&bytes)))
+    Some(Reply::parse(&String::from_utf8_lossy(&bytes)))
 }
