--- a/components/losses/src/lib.rs
+++ b/components/losses/src/lib.rs
@@ -1,9 +1,9 @@
-//! Tells from the log lines of nodes who wasn't served, when and why.
+//! Reports from nodes' log lines which requests weren't served in time, when and why.
 
 mod cause;
 mod line;
 mod report;
 
 pub use cause::Cause;
-pub use line::{Ended, Line};
-pub use report::{Class, Losses, Report};
+pub use line::{Line, Request};
+pub use report::{Aggregator, Class, Report};
--- a/src/cmd/losses.rs
+++ b/src/cmd/losses.rs
@@ -4,7 +4,7 @@
 use std::path::{Path, PathBuf};
 
 use anyhow::Context;
-use losses::{Losses, Report};
+use losses::{Aggregator, Report};
 use plotters::prelude::*;
 
 use crate::messages::{Format, Table};
@@ -16,7 +16,7 @@
 
 /// Tells from nodes' logs who wasn't served, and why.
 pub fn losses(files: &[PathBuf], plot: Option<&Path>, format: Format) -> anyhow::Result<()> {
-    let mut losses = Losses::default();
+    let mut losses = Aggregator::default();
     if files.is_empty() {
         read(io::stdin().lock(), &mut losses).context("can't read standard input")?;
     }
@@ -39,10 +39,10 @@
 }
 
 /// Reads lines; bytes that aren't text make a line that can't be read, and don't end the reading.
-fn read(mut from: impl BufRead, losses: &mut Losses) -> io::Result<()> {
+fn read(mut from: impl BufRead, losses: &mut Aggregator) -> io::Result<()> {
     let mut line = vec![];
     while from.read_until(b'\n', &mut line)? > 0 {
-        losses.line(&String::from_utf8_lossy(&line));
+        losses.add_line(&String::from_utf8_lossy(&line));
         line.clear();
     }
     Ok(())
