--- a/components/forward/src/attempt.rs
+++ b/components/forward/src/attempt.rs
@@ -168,7 +168,7 @@
     let connection = match state.pool.take(&server.address) {
         Some(connection) => connection,
         None => {
-            state.metrics.connected();
+            state.metrics.count_connection();
             let connection = Connection::connect(&server.address, CONNECT_TIMEOUT).await;
             connection.map_err(|cause| AttemptError::Unreached(cause.to_string()))?
         }
@@ -199,7 +199,7 @@
             Verdict::Invalid(cause) => return Err(AttemptError::Lost(cause)),
             Verdict::Mismatched if mismatched < MAX_MISMATCHED => {
                 mismatched += 1;
-                state.metrics.crossed();
+                state.metrics.count_mismatched_answer();
                 while body.next().await.map_err(lost)?.is_some() {}
                 (head, body) = body.next_response().await.map_err(lost)?;
             }
--- a/components/forward/src/follow.rs
+++ b/components/forward/src/follow.rs
@@ -145,7 +145,7 @@
     let failures = state.store_failures.get() + 1;
     state.store_failures.set(failures);
     state.updated.notify_waiters();
-    state.metrics.settings.event("unread");
+    state.metrics.settings.count_event("unread");
     if failures.is_power_of_two() {
         log::warn!(cause:% = cause, failures = failures, age_ms = state.proof_age_ms(); "store lost");
     }
@@ -291,7 +291,7 @@
                     cause = cause.as_str();
                     "a revision of the settings can't be used; the last usable one stays in force"
                 );
-                state.metrics.settings.event("refused");
+                state.metrics.settings.count_event("refused");
                 state.newest_invalid.set(true);
             }
             Some(Record::Server(change)) => {
--- a/components/forward/src/serve.rs
+++ b/components/forward/src/serve.rs
@@ -43,7 +43,7 @@
     let received = match intake::receive(&state, request, call, arrived, &mut open).await {
         Ok(received) => received,
         Err(error) => {
-            state.metrics.refusal(error.as_str());
+            state.metrics.count_refusal(error.as_str());
             let revision = state.settings.borrow().as_ref().map(|settings| settings.revision);
             log::info!(
                 request = id.as_str(), path = path.as_str(), outcome = error.as_str(),
@@ -203,7 +203,7 @@
     pub(crate) fn record_failure(&self, attempt: u32, server: &Entry, error: &AttemptError) {
         let (request, name) = (self.received.call.id.as_str(), server.name.as_str());
         let left_ms = self.received.time_left(&self.state).as_millis() as u64;
-        self.state.metrics.failed(&self.received.route().name);
+        self.state.metrics.count_failed_attempt(&self.received.route().name);
         log::warn!(
             request = request, content = self.received.fingerprint_hex(), server = name,
             attempt = attempt, left_ms = left_ms, cause:% = error; "attempt failed"
@@ -235,7 +235,7 @@
         let time = self.state.elapsed_since(received.arrived);
         let server = self.server.as_ref().map_or("", |server| &server.name);
         self.ended.set(true);
-        self.state.metrics.outcome(route, outcome);
+        self.state.metrics.count_outcome(route, outcome);
         let millis = |time: Duration| time.as_millis() as u64;
         let Stats { first_event, longest_pause, tokens, sent, sends, expected } = &self.stats;
         let route_terms = received.route();
@@ -280,7 +280,7 @@
             Refusal::Quarantined => "servers ended under it",
         };
         let error = Error::Refused { reason, retry_after: refused.retry_after };
-        self.state.metrics.refusal(reason);
+        self.state.metrics.count_refusal(reason);
         self.record_outcome(reason, error.status().as_u16());
         error.response()
     }
@@ -304,7 +304,7 @@
         let workspace =
             self.received.found.workspace.as_ref().map_or("", |workspace| &workspace.name);
         let time = self.state.elapsed_since(self.received.arrived);
-        self.state.metrics.answered(&self.received.route().name, workspace, time);
+        self.state.metrics.observe_answer(&self.received.route().name, workspace, time);
         let mut response = Response::new(whole.status);
         *response.headers_mut() = whole.headers;
         response.set_body(whole.body).map_into_boxed_body()
--- a/components/forward/src/state.rs
+++ b/components/forward/src/state.rs
@@ -317,8 +317,8 @@
             revision = settings.revision, last = last, routes = settings.routes().count();
             "settings in force"
         );
-        self.metrics.settings.event("accepted");
-        self.metrics.settings.revision(settings.revision);
+        self.metrics.settings.count_event("accepted");
+        self.metrics.settings.set_revision(settings.revision);
         *self.settings.borrow_mut() = Some(Rc::new(settings));
         self.driver.run_actions();
     }
--- a/components/forward/src/stream.rs
+++ b/components/forward/src/stream.rs
@@ -99,11 +99,11 @@
             match self.last_chunk.replace(now) {
                 None => {
                     let first = now - received.arrived.at;
-                    state.metrics.first_token(route, first);
+                    state.metrics.observe_first_token(route, first);
                     stats.first_event = Some(first);
                 }
                 Some(last) => {
-                    state.metrics.token_interval(route, (now - last) / tokens);
+                    state.metrics.observe_token_interval(route, (now - last) / tokens);
                     stats.longest_pause = stats.longest_pause.max(now - last);
                 }
             }
@@ -179,7 +179,7 @@
     fn drop(&mut self) {
         if self.tokens > 0 {
             let route = &self.active.received.route().name;
-            self.active.state.metrics.wasted(route, self.tokens.into());
+            self.active.state.metrics.add_wasted_tokens(route, self.tokens.into());
         }
     }
 }
--- a/components/router/src/callers.rs
+++ b/components/router/src/callers.rs
@@ -47,8 +47,8 @@
             let outcome = Outcome::NotRun(Reason::Invalid);
             // The message may hold what the caller sent, so the log has only its kind.
             log::info!(request:% = id, outcome = outcome.as_str(), cause = error.word(); "refused");
-            state.metrics.outcome(NO_CLASS, outcome.as_str());
-            state.metrics.refusal(error.word());
+            state.metrics.count_outcome(NO_CLASS, outcome.as_str());
+            state.metrics.count_refusal(error.word());
             answer::error(id, outcome, &error, error.again())
         }
     }
--- a/components/router/src/keyed.rs
+++ b/components/router/src/keyed.rs
@@ -92,7 +92,7 @@
     let id = life.id();
     let outcome = life.not_run(Reason::NoServer);
     relay::note(state, id, &parcel.class.name, outcome);
-    state.metrics.refusal(error.word());
+    state.metrics.count_refusal(error.word());
     answer::error(id, outcome, &error, error.again())
 }
 
--- a/components/router/src/operators.rs
+++ b/components/router/src/operators.rs
@@ -37,12 +37,12 @@
     let heard = |at: Instant| now.saturating_duration_since(at) < LATELY;
     let peers = view.members().filter(|(_, member)| member.heard.is_some_and(heard)).count();
     let settings = state.settings();
-    state.metrics.peers(peers);
+    state.metrics.set_live_peers(peers);
     let held = state.driver.scheduler.borrow().current_demand();
     for (key, class) in settings.iter().flat_map(|settings| &settings.classes) {
         let work = held.iter().find(|work| work.class == key);
         let (waiting, sent) = work.map_or((0, 0), |work| (work.waiting, work.sent));
-        state.metrics.work(&class.name, waiting, sent);
+        state.metrics.set_work(&class.name, waiting, sent);
     }
     state.metrics.render()
 }
--- a/components/router/src/relay.rs
+++ b/components/router/src/relay.rs
@@ -108,7 +108,7 @@
             Trouble::Late => "its deadline passed".to_string(),
         };
         if let Trouble::Failure(Failure::Crossed { .. }) = self {
-            place.state.metrics.crossed();
+            place.state.metrics.count_mismatched_answer();
         }
         if let Trouble::Failure(Failure::Lost { address, .. }) = self {
             place.lost(address);
@@ -198,7 +198,7 @@
             Ok(start) => return pass(place, sending, start, parcel, held),
             Err(trouble) => trouble,
         };
-        state.metrics.failed(&parcel.class.name);
+        state.metrics.count_failed_attempt(&parcel.class.name);
         let again = place.end(trouble.ending());
         waiting = match sending.fail(trouble.unsent(), parcel.repeatable()) {
             Ok(waiting) => waiting,
@@ -284,7 +284,7 @@
 }
 
 pub(crate) fn note(state: &State, id: ids::Request, class: &str, outcome: Outcome) {
-    state.metrics.outcome(class, outcome.as_str());
+    state.metrics.count_outcome(class, outcome.as_str());
     log::info!(request:% = id, class = class, outcome = outcome.as_str(); "ended");
 }
 
@@ -294,7 +294,7 @@
     let workspace = settings.as_ref().and_then(|s| s.workspaces.get(parcel.request.workspace));
     let workspace = workspace.map_or("", |workspace| &workspace.name);
     let time = state.clock.now() - parcel.request.arrived;
-    state.metrics.answered(&parcel.class.name, workspace, time);
+    state.metrics.observe_answer(&parcel.class.name, workspace, time);
 }
 
 fn refuse(state: &State, parcel: &Parcel, waiting: Waiting, refused: Refused) -> Answer {
@@ -312,7 +312,7 @@
         claim.not_run();
     }
     note(state, id, &parcel.class.name, outcome);
-    state.metrics.refusal(answer::refusal(refused.refusal));
+    state.metrics.count_refusal(answer::refusal(refused.refusal));
     let again = refused.retry_after;
     let error = Error::Refused(answer::refusal(refused.refusal), again.as_millis());
     answer::error(id, outcome, &error, Some(again))
--- a/components/router/src/revisions/follow.rs
+++ b/components/router/src/revisions/follow.rs
@@ -200,7 +200,7 @@
         let paused = before.is_some_and(|before| now - before > PAUSED);
         if paused && state.settings().is_some() {
             state.revisions.woken.set(true);
-            state.metrics.settings.event("woken");
+            state.metrics.settings.count_event("woken");
             log::warn!("the process was paused; looking for newer settings");
             around(&state, &service).await;
             state.revisions.woken.set(false);
--- a/components/router/src/revisions/take.rs
+++ b/components/router/src/revisions/take.rs
@@ -76,11 +76,11 @@
         Verdict::Newer => return true,
         Verdict::Same => revisions.confirmed.set(Some(state.clock.now())),
         Verdict::Refused => {}
-        Verdict::Older => events.event("stale"),
+        Verdict::Older => events.count_event("stale"),
         Verdict::Conflict if revisions.conflict.get() != Some(shown.revision) => {
             revisions.conflict.set(Some(shown.revision));
-            events.event("conflict");
-            events.conflict(true);
+            events.count_event("conflict");
+            events.set_conflict(true);
             let digest = format!("{:016x}", shown.digest);
             log::error!(
                 revision = shown.revision, digest = digest.as_str(), by = by;
@@ -159,7 +159,7 @@
         }
         Err(faults) => {
             state.revisions.mark.borrow_mut().refuse(shown);
-            state.metrics.settings.event("refused");
+            state.metrics.settings.count_event("refused");
             let by = source.word();
             log::error!(revision = shown.revision, by = by.as_str(), faults:% = faults; "settings refused");
             *state.refused.borrow_mut() = Some(faults.to_string());
@@ -171,11 +171,11 @@
 pub(super) fn note(state: &State, source: &Source, fault: &Fault) {
     match fault {
         Fault::Unread(cause) => {
-            state.metrics.settings.event("unread");
+            state.metrics.settings.count_event("unread");
             log::warn!(cause:% = cause; "can't read the settings");
         }
         Fault::Lie => {
-            state.metrics.settings.event("peer-fault");
+            state.metrics.settings.count_event("peer-fault");
             let by = source.word();
             log::error!(by = by.as_str(); "a peer's settings don't come to the digest it claims");
             if let Some(peer) = source.peer() {
--- a/components/router/src/state.rs
+++ b/components/router/src/state.rs
@@ -154,9 +154,9 @@
         }
         self.limits.send_replace(intake(limits));
         log::info!(revision = effective.revision; "settings in force");
-        self.metrics.settings.event("accepted");
-        self.metrics.settings.revision(effective.revision);
-        self.metrics.settings.conflict(false);
+        self.metrics.settings.count_event("accepted");
+        self.metrics.settings.set_revision(effective.revision);
+        self.metrics.settings.set_conflict(false);
         *self.refused.borrow_mut() = None;
         *self.settings.borrow_mut() = Some(Rc::new(effective));
         self.driver.run_actions();
--- a/components/router/src/stream.rs
+++ b/components/router/src/stream.rs
@@ -94,7 +94,7 @@
     fn passed(&mut self, piece: Piece) -> Bytes {
         let state = &self.place.state;
         for _ in 0..piece.dropped {
-            state.metrics.crossed();
+            state.metrics.count_mismatched_answer();
         }
         if piece.tokens == 0 {
             return piece.bytes;
@@ -104,8 +104,8 @@
         let class = &self.parcel.class.name;
         self.place.tokens(piece.tokens);
         match self.last.replace(now) {
-            None => state.metrics.first_token(class, now - self.parcel.request.arrived),
-            Some(last) => state.metrics.token_interval(class, (now - last) / piece.tokens),
+            None => state.metrics.observe_first_token(class, now - self.parcel.request.arrived),
+            Some(last) => state.metrics.observe_token_interval(class, (now - last) / piece.tokens),
         }
         piece.bytes
     }
@@ -136,7 +136,7 @@
         let mut trouble = trouble;
         loop {
             trouble.note(&self.place, life.id(), life.attempt());
-            self.place.state.metrics.failed(&self.parcel.class.name);
+            self.place.state.metrics.count_failed_attempt(&self.parcel.class.name);
             let point = self.source.point();
             let (Some(proof), Some(point)) = (self.parcel.repeatable(), point) else {
                 self.place.end(trouble.last());
@@ -182,11 +182,11 @@
     fn drop(&mut self) {
         if let Some(life) = &self.life {
             let (id, class) = (life.id(), self.parcel.class.name.as_str());
-            self.place.state.metrics.outcome(class, GONE);
+            self.place.state.metrics.count_outcome(class, GONE);
             log::info!(request:% = id, class = class, outcome = GONE; "ended");
         }
         if self.tokens > 0 {
-            self.place.state.metrics.wasted(&self.parcel.class.name, self.tokens.into());
+            self.place.state.metrics.add_wasted_tokens(&self.parcel.class.name, self.tokens.into());
         }
     }
 }
--- a/components/telemetry/src/lib.rs
+++ b/components/telemetry/src/lib.rs
@@ -1,11 +1,11 @@
-//! Logs, one line a record, and metrics, with histograms per class.
+//! Provides logging to standard output, one line per record, and Prometheus metrics.
 
 mod logs;
 mod metrics;
 mod settings;
 mod sink;
 
-pub use logs::{Form, start};
+pub use logs::{Format, start_logging};
 pub use metrics::Metrics;
-pub use settings::Settings;
-pub use sink::flush;
+pub use settings::SettingsMetrics;
+pub use sink::flush_log;
--- a/components/telemetry/src/logs.rs
+++ b/components/telemetry/src/logs.rs
@@ -1,3 +1,5 @@
+//! Formats log records as text or JSON lines and passes them to the sink.
+
 use std::fmt::Write;
 use std::time::SystemTime;
 
@@ -6,38 +8,43 @@
 
 use crate::sink::Sink;
 
-/// Form of a record.
+/// Format of a log line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Form {
-    /// `key=value` pairs.
+pub enum Format {
+    /// `key=value` pairs separated by spaces.
     Text,
-    /// A JSON object.
+    /// One JSON object.
     Json,
 }
 
-/// Starts logging to standard output; a process does this once. Logging never waits: lines beyond a
-/// bound are left out and counted.
-pub fn start(form: Form, level: log::LevelFilter) -> anyhow::Result<()> {
-    let line = move |out: fern::FormatCallback<'_>,
-                     message: &std::fmt::Arguments<'_>,
-                     record: &log::Record<'_>| {
-        out.finish(format_args!("{}", render(form, message, record)));
+/// Starts logging to standard output. Logging a record never blocks: lines beyond the rate limit or the
+/// capacity of the writer's queue are dropped and counted.
+///
+/// # Errors
+///
+/// Fails if the writer thread can't be started, or if a logger was installed in this process before.
+pub fn start_logging(format: Format, level: log::LevelFilter) -> anyhow::Result<()> {
+    let format_line = move |out: fern::FormatCallback<'_>,
+                            message: &std::fmt::Arguments<'_>,
+                            record: &log::Record<'_>| {
+        out.finish(format_args!("{}", render(format, message, record)));
     };
     let dispatch =
         fern::Dispatch::new().level(level).level_for("actix_http", log::LevelFilter::Warn);
     let sink = Sink::start().context("can't start the thread that writes the log")?;
-    let write = move |record: &log::Record<'_>| sink.line(record.args().to_string());
+    let write = move |record: &log::Record<'_>| sink.write_line(record.args().to_string());
     dispatch
-        .format(line)
+        .format(format_line)
         .chain(fern::Output::call(write))
         .apply()
-        .context("the log was started before")
+        .context("a logger is already installed in this process")
 }
 
-/// A value of a record in JSON: numbers, truths and nothing stay what they are, all else is text.
-struct Json(serde_json::Value);
+/// Converts a value of a record to JSON: numbers, booleans and null keep their type, any other value
+/// becomes a string.
+struct JsonValue(serde_json::Value);
 
-impl VisitValue<'_> for Json {
+impl VisitValue<'_> for JsonValue {
     fn visit_any(&mut self, value: Value<'_>) -> Result<(), log::kv::Error> {
         self.0 = value.to_string().into();
         Ok(())
@@ -69,45 +76,47 @@
     }
 }
 
+/// Collects the key-value pairs of a record in order.
 struct Pairs(Vec<(String, serde_json::Value)>);
 
 impl<'kvs> VisitSource<'kvs> for Pairs {
     fn visit_pair(&mut self, key: Key<'kvs>, value: Value<'kvs>) -> Result<(), log::kv::Error> {
-        let mut json = Json(serde_json::Value::Null);
+        let mut json = JsonValue(serde_json::Value::Null);
         value.visit(&mut json)?;
         self.0.push((key.to_string(), json.0));
         Ok(())
     }
 }
 
-fn render(form: Form, message: &std::fmt::Arguments<'_>, record: &log::Record<'_>) -> String {
-    let since = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
+fn render(format: Format, message: &std::fmt::Arguments<'_>, record: &log::Record<'_>) -> String {
+    let since_epoch = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
     let mut pairs = Pairs(vec![
-        ("at_ms".to_string(), (since.as_millis() as u64).into()),
+        ("at_ms".to_string(), (since_epoch.as_millis() as u64).into()),
         ("level".to_string(), record.level().to_string().to_lowercase().into()),
         ("target".to_string(), record.target().into()),
         ("msg".to_string(), message.to_string().into()),
     ]);
     let _ = record.key_values().visit(&mut pairs);
-    match form {
-        Form::Json => {
+    match format {
+        Format::Json => {
             let mut line = String::from("{");
             for (index, (key, value)) in pairs.0.iter().enumerate() {
-                let gap = if index == 0 { "" } else { "," };
-                let _ = write!(line, "{gap}{}:{value}", serde_json::Value::from(key.as_str()));
+                let separator = if index == 0 { "" } else { "," };
+                let _ =
+                    write!(line, "{separator}{}:{value}", serde_json::Value::from(key.as_str()));
             }
             line.push('}');
             line
         }
-        Form::Text => {
+        Format::Text => {
             let mut line = String::new();
             for (key, value) in &pairs.0 {
-                let gap = if line.is_empty() { "" } else { " " };
+                let separator = if line.is_empty() { "" } else { " " };
                 let text = value.as_str().map_or_else(|| value.to_string(), str::to_string);
                 if text.contains([' ', '"', '=', '\n']) {
-                    let _ = write!(line, "{gap}{key}={text:?}");
+                    let _ = write!(line, "{separator}{key}={text:?}");
                 } else {
-                    let _ = write!(line, "{gap}{key}={text}");
+                    let _ = write!(line, "{separator}{key}={text}");
                 }
             }
             line
--- a/components/telemetry/src/metrics.rs
+++ b/components/telemetry/src/metrics.rs
@@ -1,3 +1,5 @@
+//! Counters, gauges and histograms of one router, rendered in the Prometheus text format.
+
 use std::cell::RefCell;
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -7,59 +9,63 @@
     TextEncoder,
 };
 
-/// Bounds in seconds: fine around the targets of the classes, up to the longest deadlines.
-const BOUNDS: [f64; 12] = [0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 0.87, 2.0, 5.0, 15.0, 60.0];
+/// Upper bounds of the histogram buckets: close together around the classes' targets, and up to the
+/// longest deadlines.
+const BUCKETS_SECONDS: [f64; 12] =
+    [0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 0.87, 2.0, 5.0, 15.0, 60.0];
 
-/// Workspaces with a histogram of their own: some 15 series each, so about 500 in all.
-const NAMED: usize = 32;
+/// Workspaces with a histogram of their own. Each histogram has about 15 time series, so all of them have
+/// about 500.
+const MAX_WORKSPACE_HISTOGRAMS: usize = 32;
 
 /// Metrics of one router.
 pub struct Metrics {
-    /// Those of the settings' following.
-    pub settings: crate::Settings,
+    /// Metrics of the settings revisions that the router received.
+    pub settings: crate::SettingsMetrics,
     registry: Registry,
     outcomes: IntCounterVec,
     refusals: IntCounterVec,
-    crossed: IntCounter,
-    connected: IntCounter,
-    failed: IntCounterVec,
-    wasted: IntCounterVec,
-    answers: HistogramVec,
-    workspaces: HistogramVec,
-    named: RefCell<BTreeSet<String>>,
-    peers: IntGauge,
+    mismatched_answers: IntCounter,
+    connections: IntCounter,
+    failed_attempts: IntCounterVec,
+    wasted_tokens: IntCounterVec,
+    answer_times: HistogramVec,
+    workspace_answer_times: HistogramVec,
+    /// Workspaces that have a histogram of their own.
+    own_histogram: RefCell<BTreeSet<String>>,
+    live_peers: IntGauge,
     work: IntGaugeVec,
     first_token: HistogramVec,
     token_interval: HistogramVec,
 }
 
 impl Metrics {
-    /// Metrics that stand at zero.
+    /// Creates the metrics, all at zero.
     ///
     /// ```
     /// let metrics = telemetry::Metrics::new();
-    /// metrics.outcome("booking", "complete");
+    /// metrics.count_outcome("booking", "complete");
     /// assert!(metrics.render().contains("outcome=\"complete\""));
     /// ```
     #[allow(clippy::new_without_default)]
     pub fn new() -> Self {
         let registry = Registry::new();
-        let labelled = |name: &str, help: &str, label: &str| {
-            let options = HistogramOpts::new(name, help).buckets(BOUNDS.to_vec());
-            let metric = HistogramVec::new(options, &[label]).expect("a constant, valid name");
-            registry.register(Box::new(metric.clone())).expect("registered once");
+        let labelled_histogram = |name: &str, help: &str, label: &str| {
+            let options = HistogramOpts::new(name, help).buckets(BUCKETS_SECONDS.to_vec());
+            let metric = HistogramVec::new(options, &[label]).expect("the metric's name is valid");
+            registry.register(Box::new(metric.clone())).expect("the metric is registered once");
             metric
         };
-        let histogram = |name: &str, help: &str| labelled(name, help, "class");
+        let class_histogram = |name: &str, help: &str| labelled_histogram(name, help, "class");
         let gauge = |name: &str, help: &str| {
-            let metric = IntGauge::new(name, help).expect("a constant, valid name");
-            registry.register(Box::new(metric.clone())).expect("registered once");
+            let metric = IntGauge::new(name, help).expect("the metric's name is valid");
+            registry.register(Box::new(metric.clone())).expect("the metric is registered once");
             metric
         };
         let counter = |name: &str, help: &str, labels: &[&str]| {
             let metric = IntCounterVec::new(Opts::new(name, help), labels);
-            let metric = metric.expect("a constant, valid name");
-            registry.register(Box::new(metric.clone())).expect("registered once");
+            let metric = metric.expect("the metric's name is valid");
+            registry.register(Box::new(metric.clone())).expect("the metric is registered once");
             metric
         };
         let outcomes = counter(
@@ -72,24 +78,26 @@
             "Requests that weren't run, by reason",
             &["reason"],
         );
-        let crossed = IntCounter::new(
+        let mismatched_answers = IntCounter::new(
             "godwitlever_crossed_total",
             "Answers dropped since they were to another request or an older attempt",
         )
-        .expect("a constant, valid name");
-        registry.register(Box::new(crossed.clone())).expect("registered once");
-        let connected = IntCounter::new(
+        .expect("the metric's name is valid");
+        registry
+            .register(Box::new(mismatched_answers.clone()))
+            .expect("the metric is registered once");
+        let connections = IntCounter::new(
             "godwitlever_connections_total",
             "Connections that were opened to backend servers",
         )
-        .expect("a constant, valid name");
-        registry.register(Box::new(connected.clone())).expect("registered once");
-        let failed = counter(
+        .expect("the metric's name is valid");
+        registry.register(Box::new(connections.clone())).expect("the metric is registered once");
+        let failed_attempts = counter(
             "godwitlever_attempts_failed_total",
             "Attempts at backend servers that brought no answer",
             &["class"],
         );
-        let wasted = counter(
+        let wasted_tokens = counter(
             "godwitlever_wasted_tokens_total",
             "Tokens passed on in answers that didn't come to their end",
             &["class"],
@@ -98,103 +106,115 @@
             Opts::new("godwitlever_work", "Requests held now, by class and state"),
             &["class", "state"],
         )
-        .expect("a constant, valid name");
-        registry.register(Box::new(work.clone())).expect("registered once");
+        .expect("the metric's name is valid");
+        registry.register(Box::new(work.clone())).expect("the metric is registered once");
         Metrics {
-            failed,
-            wasted,
+            failed_attempts,
+            wasted_tokens,
             work,
-            answers: histogram("godwitlever_answer_seconds", "Time to the end of whole answers"),
-            workspaces: labelled(
+            answer_times: class_histogram(
+                "godwitlever_answer_seconds",
+                "Time to the end of whole answers",
+            ),
+            workspace_answer_times: labelled_histogram(
                 "godwitlever_workspace_answer_seconds",
                 "Time to the end of whole answers, for the workspaces first seen",
                 "workspace",
             ),
-            named: RefCell::default(),
-            peers: gauge("godwitlever_peers_heard", "Peers that were heard lately"),
-            settings: crate::Settings::new(&registry),
+            own_histogram: RefCell::default(),
+            live_peers: gauge("godwitlever_peers_heard", "Peers that were heard lately"),
+            settings: crate::SettingsMetrics::new(&registry),
             outcomes,
             refusals,
-            crossed,
-            connected,
-            first_token: histogram("godwitlever_first_token_seconds", "Time to the first token"),
-            token_interval: histogram("godwitlever_token_interval_seconds", "Time between tokens"),
+            mismatched_answers,
+            connections,
+            first_token: class_histogram(
+                "godwitlever_first_token_seconds",
+                "Time to the first token",
+            ),
+            token_interval: class_histogram(
+                "godwitlever_token_interval_seconds",
+                "Time between tokens",
+            ),
             registry,
         }
     }
 
-    /// Counts a request that ended.
-    pub fn outcome(&self, class: &str, outcome: &str) {
+    /// Counts a request that ended with `outcome`.
+    pub fn count_outcome(&self, class: &str, outcome: &str) {
         self.outcomes.with_label_values(&[class, outcome]).inc();
     }
 
     /// Counts a request that wasn't run.
-    pub fn refusal(&self, reason: &str) {
+    pub fn count_refusal(&self, reason: &str) {
         self.refusals.with_label_values(&[reason]).inc();
     }
 
-    /// Counts an answer, or a part of one, that was dropped since it didn't belong to the attempt.
-    pub fn crossed(&self) {
-        self.crossed.inc();
+    /// Counts an answer, or a part of one, that was dropped because it belonged to another request or an
+    /// older attempt.
+    pub fn count_mismatched_answer(&self) {
+        self.mismatched_answers.inc();
     }
 
     /// Counts a connection that was opened to a backend server.
-    pub fn connected(&self) {
-        self.connected.inc();
+    pub fn count_connection(&self) {
+        self.connections.inc();
     }
 
-    /// Counts an attempt that brought no answer.
-    pub fn failed(&self, class: &str) {
-        self.failed.with_label_values(&[class]).inc();
+    /// Counts an attempt that got no answer.
+    pub fn count_failed_attempt(&self, class: &str) {
+        self.failed_attempts.with_label_values(&[class]).inc();
     }
 
-    /// Counts tokens of an answer that didn't come to its end.
-    pub fn wasted(&self, class: &str, tokens: u64) {
-        self.wasted.with_label_values(&[class]).inc_by(tokens);
+    /// Adds the tokens that were relayed to the caller in an answer that was never completed.
+    pub fn add_wasted_tokens(&self, class: &str, tokens: u64) {
+        self.wasted_tokens.with_label_values(&[class]).inc_by(tokens);
     }
 
-    /// Notes the time to the end of a whole answer. Only the first workspaces seen have a
-    /// histogram of their own: thousands would cost more than all else that a node does.
+    /// Records the time to the end of a complete answer. Only the workspaces that are seen first get a
+    /// histogram of their own, the others share the label `other`: thousands of histograms would cost
+    /// more than the rest of a node's work.
     ///
     /// ```
     /// let metrics = telemetry::Metrics::new();
     /// for index in 0..100 {
-    ///     metrics.answered("booking", &format!("w{index}"), std::time::Duration::ZERO);
+    ///     metrics.observe_answer("booking", &format!("w{index}"), std::time::Duration::ZERO);
     /// }
     /// assert!(metrics.render().contains("_count{workspace=\"other\"} 68"));
     /// ```
-    pub fn answered(&self, class: &str, workspace: &str, time: Duration) {
-        self.answers.with_label_values(&[class]).observe(time.as_secs_f64());
-        let mut named = self.named.borrow_mut();
-        if named.len() < NAMED && !named.contains(workspace) {
-            named.insert(workspace.to_string());
+    pub fn observe_answer(&self, class: &str, workspace: &str, time: Duration) {
+        self.answer_times.with_label_values(&[class]).observe(time.as_secs_f64());
+        let mut own_histogram = self.own_histogram.borrow_mut();
+        if own_histogram.len() < MAX_WORKSPACE_HISTOGRAMS && !own_histogram.contains(workspace) {
+            own_histogram.insert(workspace.to_string());
         }
-        let label = if named.contains(workspace) { workspace } else { "other" };
-        self.workspaces.with_label_values(&[label]).observe(time.as_secs_f64());
+        let label = if own_histogram.contains(workspace) { workspace } else { "other" };
+        self.workspace_answer_times.with_label_values(&[label]).observe(time.as_secs_f64());
     }
 
-    /// Sets how many peers were heard lately.
-    pub fn peers(&self, count: usize) {
-        self.peers.set(count as i64);
+    /// Sets the number of peers that sent gossip recently.
+    pub fn set_live_peers(&self, count: usize) {
+        self.live_peers.set(count as i64);
     }
 
-    /// Sets how many requests of a class are held now.
-    pub fn work(&self, class: &str, waiting: u32, sent: u32) {
+    /// Sets the number of a class's requests that wait on this node and that are in flight at backend
+    /// servers.
+    pub fn set_work(&self, class: &str, waiting: u32, in_flight: u32) {
         self.work.with_label_values(&[class, "waiting"]).set(waiting.into());
-        self.work.with_label_values(&[class, "sent"]).set(sent.into());
+        self.work.with_label_values(&[class, "sent"]).set(in_flight.into());
     }
 
-    /// Notes the time to a first token.
-    pub fn first_token(&self, class: &str, time: Duration) {
+    /// Records the time from a request's arrival to its first token.
+    pub fn observe_first_token(&self, class: &str, time: Duration) {
         self.first_token.with_label_values(&[class]).observe(time.as_secs_f64());
     }
 
-    /// Notes the time between two tokens.
-    pub fn token_interval(&self, class: &str, time: Duration) {
+    /// Records the time between two tokens.
+    pub fn observe_token_interval(&self, class: &str, time: Duration) {
         self.token_interval.with_label_values(&[class]).observe(time.as_secs_f64());
     }
 
-    /// All metrics in the text form.
+    /// Returns all metrics in the Prometheus text format.
     pub fn render(&self) -> String {
         TextEncoder::new().encode_to_string(&self.registry.gather()).unwrap_or_default()
     }
--- a/src/bin/godwitleverd.rs
+++ b/src/bin/godwitleverd.rs
@@ -67,7 +67,7 @@
         () = signals.stop() => node.cut(),
     };
     log::info!(cut = cut; "stopped");
-    telemetry::flush();
+    telemetry::flush_log();
     Ok(if cut == 0 { ExitCode::SUCCESS } else { ExitCode::FAILURE })
 }
 
@@ -111,10 +111,10 @@
     async fn own(text: &str, origin: &str) -> anyhow::Result<Self> {
         let node = Node::parse(text, origin)?;
         let form = match node.log {
-            Log::Text => telemetry::Form::Text,
-            Log::Json => telemetry::Form::Json,
+            Log::Text => telemetry::Format::Text,
+            Log::Json => telemetry::Format::Json,
         };
-        telemetry::start(form, log::LevelFilter::Info)?;
+        telemetry::start_logging(form, log::LevelFilter::Info)?;
         let router = Router::start(node).await?;
         log::info!(callers:% = router.callers(), operators:% = router.operators(); "listening");
         Ok(Running::Own(router))
@@ -122,7 +122,7 @@
 
     async fn adapted(text: &str, origin: &str) -> anyhow::Result<Self> {
         let node = forward::Node::parse(text, origin)?;
-        telemetry::start(telemetry::Form::Json, log::LevelFilter::Info)?;
+        telemetry::start_logging(telemetry::Format::Json, log::LevelFilter::Info)?;
         let protocols = platform::protocols(node.store);
         let name = node.name.clone();
         let proxy = Proxy::start(node, protocols).await?;
