--- a/components/router/src/callers.rs
+++ b/components/router/src/callers.rs
@@ -170,7 +170,7 @@
     let key = header(request, "authorization").and_then(|value| value.strip_prefix("Bearer "));
     let digest = settings::key_digest(key.ok_or(Error::Key)?);
     // The table's lookup may tell by its time how near a digest came, which says nothing of a key.
-    let (name, workspace) = settings.caller(&digest).ok_or(Error::Key)?;
+    let (name, workspace) = settings.workspace_by_key(&digest).ok_or(Error::Key)?;
     Ok((name, workspace))
 }
 
--- a/components/router/src/revisions.rs
+++ b/components/router/src/revisions.rs
@@ -14,7 +14,7 @@
 use configuration::spread::{self, Place};
 use configuration::wire::{Role, Vm};
 use serde_json::json;
-use settings::mark::{Mark, Shown};
+use settings::watermark::{RevisionId, Watermark};
 use settings::{Effective, Part};
 use tokio::sync::watch;
 
@@ -28,13 +28,13 @@
 const DISTRUST: Duration = Duration::from_secs(30);
 
 struct Past {
-    shown: Shown,
+    shown: RevisionId,
     parts: Rc<[Rc<Part>]>,
 }
 
 /// What a node knows of revisions.
 pub(crate) struct Revisions {
-    mark: RefCell<Mark>,
+    mark: RefCell<Watermark>,
     /// The number in force; peers that hear from this node wait on it.
     shown: watch::Sender<u64>,
     recent: RefCell<VecDeque<Past>>,
@@ -64,8 +64,8 @@
 
     /// Notes that a revision is in force. Returns false unless it is newer than all before.
     pub(crate) fn hold(&self, effective: &Effective) -> bool {
-        let shown = Shown { revision: effective.revision, digest: effective.digest };
-        if !self.mark.borrow_mut().hold(shown) {
+        let shown = RevisionId { revision: effective.revision, digest: effective.digest };
+        if !self.mark.borrow_mut().accept(shown) {
             return false;
         }
         let mut recent = self.recent.borrow_mut();
@@ -123,7 +123,7 @@
         };
         json!({
             "confirmed_ms_ago": age,
-            "refused_revision": mark.refused.filter(|r| Some(r.revision) == mark.top())
+            "refused_revision": mark.refused.filter(|r| Some(r.revision) == mark.highest())
                 .map(|refused| refused.revision),
             "conflict": self.conflict.get(),
             "role": role,
--- a/components/router/src/revisions/follow.rs
+++ b/components/router/src/revisions/follow.rs
@@ -11,7 +11,7 @@
 use configuration::wire::Manifest;
 use configuration::{Configuration, List, Peer};
 use futures_util::future::join_all;
-use settings::mark::Shown;
+use settings::watermark::RevisionId;
 
 use super::take::{self, Fault, Source};
 use crate::peers::SECRET;
@@ -66,10 +66,10 @@
     }
 }
 
-fn known(state: &State) -> Shown {
+fn known(state: &State) -> RevisionId {
     let mark = state.revisions.mark.borrow();
-    let digest = mark.held.map_or(0, |held| held.digest);
-    Shown { revision: mark.top().unwrap_or(0), digest }
+    let digest = mark.in_force.map_or(0, |held| held.digest);
+    RevisionId { revision: mark.highest().unwrap_or(0), digest }
 }
 
 /// Waits for the service to show something new. Returns whether it answered.
@@ -221,11 +221,11 @@
 
 /// Looks at what peers' frames say of their revisions and asks the highest for what is new.
 async fn compare(state: &Rc<State>) {
-    let mut higher: Vec<(Shown, SocketAddr)> = vec![];
+    let mut higher: Vec<(RevisionId, SocketAddr)> = vec![];
     let now = state.clock.now();
     for (name, member) in state.view.borrow().members() {
         let Some(frame) = member.last.as_ref().filter(|frame| frame.revision > 0) else { continue };
-        let shown = Shown { revision: frame.revision, digest: frame.digest };
+        let shown = RevisionId { revision: frame.revision, digest: frame.digest };
         let Ok(address) = member.address.parse() else { continue };
         let older = known(state).revision > shown.revision;
         // That a peer lags is no news; its own exchange brings it up.
--- a/components/router/src/revisions/serve.rs
+++ b/components/router/src/revisions/serve.rs
@@ -6,7 +6,7 @@
 use actix_http::{Request, Response, StatusCode};
 use configuration::peer::{Changed, Delta, HOLD, NEWS, News, VALUES};
 use configuration::wire::{Manifest, Part as Listed};
-use settings::mark::Shown;
+use settings::watermark::RevisionId;
 
 use crate::answer::Answer;
 use crate::state::State;
@@ -33,7 +33,7 @@
         let mut shown = state.revisions.shown.subscribe();
         let _ = tokio::time::timeout(HOLD, shown.wait_for(|shown| *shown > after)).await;
     }
-    let theirs = Shown { revision: after, digest: digest.unwrap_or(0) };
+    let theirs = RevisionId { revision: after, digest: digest.unwrap_or(0) };
     match news(&state, theirs) {
         Some(news) => {
             let body = serde_json::to_string(&news).expect("plain fields");
@@ -59,7 +59,7 @@
 }
 
 /// What is new to one who holds `theirs`.
-fn news(state: &State, theirs: Shown) -> Option<News> {
+fn news(state: &State, theirs: RevisionId) -> Option<News> {
     let held = state.settings()?;
     if held.revision <= theirs.revision {
         return None;
--- a/components/router/src/revisions/take.rs
+++ b/components/router/src/revisions/take.rs
@@ -9,7 +9,7 @@
 use configuration::wire::Manifest;
 use configuration::{Configuration, Peer};
 use futures_util::{StreamExt, TryStreamExt, stream};
-use settings::mark::{Shown, Verdict};
+use settings::watermark::{RevisionId, Verdict};
 use settings::{Effective, Part, part};
 
 use crate::state::State;
@@ -54,23 +54,23 @@
 }
 
 /// The number and digest of a manifest.
-pub(super) fn shown(manifest: &Manifest) -> Shown {
+pub(super) fn shown(manifest: &Manifest) -> RevisionId {
     let parts = manifest.parts.iter().map(|part| (&*part.name, &*part.digest));
-    Shown { revision: manifest.revision, digest: part::whole(parts) }
+    RevisionId { revision: manifest.revision, digest: part::revision_digest(parts) }
 }
 
 /// The number and the claimed digest of what a peer tells.
-pub(super) fn claimed(news: &News) -> Shown {
+pub(super) fn claimed(news: &News) -> RevisionId {
     match news {
         News::Manifest(manifest) => shown(manifest),
-        News::Delta(delta) => Shown { revision: delta.revision, digest: delta.digest },
+        News::Delta(delta) => RevisionId { revision: delta.revision, digest: delta.digest },
     }
 }
 
 /// Looks at a revision that is shown and notes what that says. Returns whether to take it.
-pub(super) fn judge(state: &State, shown: Shown, by: &str) -> bool {
+pub(super) fn judge(state: &State, shown: RevisionId, by: &str) -> bool {
     let revisions = &state.revisions;
-    let verdict = revisions.mark.borrow().judge(shown);
+    let verdict = revisions.mark.borrow().classify(shown);
     let events = &state.metrics.settings;
     match verdict {
         Verdict::Newer => return true,
@@ -104,7 +104,7 @@
     }
     let held = state.settings();
     let read = manifest.parts.iter().map(|listed| {
-        let held = held.as_ref().and_then(|held| held.part(&listed.digest));
+        let held = held.as_ref().and_then(|held| held.part_by_digest(&listed.digest));
         let held = held.filter(|held| *held.name == *listed.name).cloned();
         async move {
             match held {
@@ -130,7 +130,7 @@
 }
 
 fn delta(state: &Rc<State>, source: &Source, delta: Delta) -> Result<(), Fault> {
-    let shown = Shown { revision: delta.revision, digest: delta.digest };
+    let shown = RevisionId { revision: delta.revision, digest: delta.digest };
     if !judge(state, shown, &source.word()) {
         return Ok(());
     }
@@ -142,7 +142,7 @@
     let kept =
         held.parts.iter().filter(|p| !replaced.contains(&*p.name) && !gone.contains(&*p.name));
     parts.extend(kept.cloned());
-    let digest = part::whole(parts.iter().map(|part| (&*part.name, &*part.digest)));
+    let digest = part::revision_digest(parts.iter().map(|part| (&*part.name, &*part.digest)));
     if digest != shown.digest {
         return Err(Fault::Lie);
     }
@@ -150,15 +150,15 @@
     Ok(())
 }
 
-fn put(state: &Rc<State>, source: &Source, shown: Shown, parts: Vec<Rc<Part>>) {
+fn put(state: &Rc<State>, source: &Source, shown: RevisionId, parts: Vec<Rc<Part>>) {
     let last = state.settings();
-    match Effective::compose(shown.revision, parts, last.as_deref()) {
+    match Effective::from_parts(shown.revision, parts, last.as_deref()) {
         Ok(effective) => {
             state.revisions.confirmed.set(Some(state.clock.now()));
             state.accept(effective);
         }
         Err(faults) => {
-            state.revisions.mark.borrow_mut().refuse(shown);
+            state.revisions.mark.borrow_mut().record_refused(shown);
             state.metrics.settings.count_event("refused");
             let by = source.word();
             log::error!(revision = shown.revision, by = by.as_str(), faults:% = faults; "settings refused");
--- a/components/settings/src/build.rs
+++ b/components/settings/src/build.rs
@@ -1,5 +1,6 @@
-//! Works out what a tree comes to. A revision that changes only workspaces, as most do, reads and
-//! works out only the branches in its changed parts; the rest is shared with the last revision.
+//! Resolves the parts of a revision to the settings in force. For a revision that changes only
+//! workspaces, as most do, only the branches in its changed parts are parsed and resolved; the rest is
+//! shared with the previous revision.
 
 use std::collections::HashSet;
 use std::rc::Rc;
@@ -11,32 +12,43 @@
 use crate::tree::{Chain, Tree};
 
 impl Effective {
-    /// Works out a revision from parts that were read, as [`Effective::build`] does.
-    pub fn compose(
+    /// Resolves a revision from parsed parts; otherwise the same as [`Effective::build`].
+    ///
+    /// # Errors
+    ///
+    /// Returns all faults of the revision, ordered by location.
+    pub fn from_parts(
         revision: u64,
         parts: Vec<Rc<Part>>,
-        last: Option<&Effective>,
+        previous: Option<&Effective>,
     ) -> Result<Self, Faults> {
-        let digest = part::whole(parts.iter().map(|part| (&*part.name, &*part.digest)));
+        let digest = part::revision_digest(parts.iter().map(|part| (&*part.name, &*part.digest)));
         let mut faults = vec![];
-        let change = last.and_then(|last| Change::between(last, &parts).map(|c| (last, c)));
+        let change =
+            previous.and_then(|previous| Change::between(previous, &parts).map(|c| (previous, c)));
         let mut effective = match change {
-            Some((last, change)) => last.changed(&change, &mut faults),
-            None => Effective::whole(&parts, last, &mut faults),
+            Some((previous, change)) => previous.apply_change(&change, &mut faults),
+            None => Effective::resolve_all(&parts, previous, &mut faults),
         };
         if effective.servers.is_empty() && !effective.workspaces.is_empty() {
-            let place = parts.iter().flat_map(|p| &p.branches).map(|b| b.place.clone()).min();
-            let place = place.expect("a tree with a workspace has a branch");
-            faults.push(Fault { place, path: "server".to_string(), cause: Cause::Serverless });
+            let location = parts.iter().flat_map(|p| &p.branches).map(|b| b.location.clone()).min();
+            let location = location.expect("a tree with a workspace has a branch");
+            faults.push(Fault {
+                location,
+                path: "server".to_string(),
+                cause: Cause::NoServerBranch,
+            });
         }
         if !faults.is_empty() {
-            // A value that can't be read isn't missing as well.
-            let said: HashSet<_> = faults
+            // A required value that is invalid isn't reported as unset as well.
+            let invalid: HashSet<_> = faults
                 .iter()
-                .filter(|fault| fault.cause != Cause::Unset)
+                .filter(|fault| fault.cause != Cause::RequiredUnset)
                 .map(|fault| fault.path.clone())
                 .collect();
-            faults.retain(|fault| fault.cause != Cause::Unset || !said.contains(&fault.path));
+            faults.retain(|fault| {
+                fault.cause != Cause::RequiredUnset || !invalid.contains(&fault.path)
+            });
             faults.sort();
             return Err(Faults(faults));
         }
@@ -46,86 +58,93 @@
         Ok(effective)
     }
 
-    fn whole(parts: &[Rc<Part>], last: Option<&Effective>, faults: &mut Vec<Fault>) -> Self {
+    /// Resolves all branches of the parts.
+    fn resolve_all(
+        parts: &[Rc<Part>],
+        previous: Option<&Effective>,
+        faults: &mut Vec<Fault>,
+    ) -> Self {
         faults.extend(parts.iter().flat_map(|part| part.faults.iter().cloned()));
-        let broken = faults.iter().any(|fault| matches!(fault.cause, Cause::Syntax(_)));
-        let mut all = Tree::collect(parts, faults);
+        let has_syntax_error = faults.iter().any(|fault| matches!(fault.cause, Cause::Syntax(_)));
+        let mut tree = Tree::from_parts(parts, faults);
         let root = Rc::new(Branch::root());
-        let root = all.branch(Kind::Deployment, "").cloned().unwrap_or(root);
-        let mut effective = Effective::empty(limits(&all.chain(&root)), last);
-        // Half a text says little of what is missing from the whole.
-        if broken {
+        let root = tree.branch(Kind::Deployment, "").cloned().unwrap_or(root);
+        let mut effective = Effective::empty(resolve_limits(&tree.chain(&root)), previous);
+        // After a syntax error most branches are missing, so faults of the whole tree would mislead.
+        if has_syntax_error {
             return effective;
         }
         for kind in Kind::ALL {
-            for branch in all.branches(kind) {
-                all.check(branch, faults);
-                unset(&all, branch, faults);
+            for branch in tree.branches(kind) {
+                tree.check_references(branch, faults);
+                check_required(&tree, branch, faults);
             }
         }
-        for branch in all.branches(Kind::Server) {
-            let server = effective.server(&all, branch);
+        for branch in tree.branches(Kind::Server) {
+            let server = effective.resolve_server(&tree, branch);
             let key = effective.server_names.intern(&branch.name);
-            let held = last.and_then(|last| last.servers.get(key));
-            effective.servers.insert(key, shared(server, held));
+            let earlier = previous.and_then(|previous| previous.servers.get(key));
+            effective.servers.insert(key, share_if_equal(server, earlier));
         }
-        for branch in all.branches(Kind::Class) {
-            let class = class(&all, branch, faults);
+        for branch in tree.branches(Kind::Class) {
+            let class = resolve_class(&tree, branch, faults);
             let key = effective.class_names.intern(&branch.name);
-            let held = last.and_then(|last| last.classes.get(key));
-            effective.classes.insert(key, shared(class, held));
+            let earlier = previous.and_then(|previous| previous.classes.get(key));
+            effective.classes.insert(key, share_if_equal(class, earlier));
         }
-        let workspaces = all.take(Kind::Workspace);
+        let workspaces = tree.take_branches(Kind::Workspace);
         for branch in workspaces.values() {
-            effective.insert(&all, branch, last, faults);
+            effective.insert_workspace(&tree, branch, previous, faults);
         }
-        effective.warnings = effective.warn(&all);
-        effective.tree = Rc::new(all);
+        effective.warnings = effective.find_warnings(&tree);
+        effective.tree = Rc::new(tree);
         effective
     }
 
-    fn changed(&self, change: &Change, faults: &mut Vec<Fault>) -> Self {
+    /// Returns these settings with the changed workspaces replaced.
+    fn apply_change(&self, change: &Change, faults: &mut Vec<Fault>) -> Self {
         let mut effective = self.clone();
-        let gone = change.gone.iter().flat_map(|part| &part.branches);
-        for key in gone.filter_map(|branch| self.workspace_names.key(&branch.name)) {
+        let removed = change.removed.iter().flat_map(|part| &part.branches);
+        for key in removed.filter_map(|branch| self.workspace_names.key(&branch.name)) {
             if let Some(workspace) = effective.workspaces.remove(key) {
-                effective.callers.remove(&workspace.key_digest);
+                effective.workspaces_by_key.remove(&workspace.key_digest);
             }
         }
         let tree = self.tree.clone();
-        for part in &change.fresh {
+        for part in &change.added {
             faults.extend(part.faults.iter().cloned());
             for branch in &part.branches {
-                tree.check(branch, faults);
-                unset(&tree, branch, faults);
-                effective.insert(&tree, branch, Some(self), faults);
+                tree.check_references(branch, faults);
+                check_required(&tree, branch, faults);
+                effective.insert_workspace(&tree, branch, Some(self), faults);
             }
         }
         effective
     }
 
-    fn empty(limits: Limits, last: Option<&Effective>) -> Self {
+    /// Returns settings without branches that keep the name keys of the previous ones.
+    fn empty(limits: Limits, previous: Option<&Effective>) -> Self {
         Effective {
             revision: 0,
             digest: 0,
             limits,
-            class_names: last.map(|l| l.class_names.clone()).unwrap_or_default(),
-            workspace_names: last.map(|l| l.workspace_names.clone()).unwrap_or_default(),
-            server_names: last.map(|l| l.server_names.clone()).unwrap_or_default(),
-            model_names: last.map(|l| l.model_names.clone()).unwrap_or_default(),
-            region_names: last.map(|l| l.region_names.clone()).unwrap_or_default(),
-            domain_names: last.map(|l| l.domain_names.clone()).unwrap_or_default(),
+            class_names: previous.map(|p| p.class_names.clone()).unwrap_or_default(),
+            workspace_names: previous.map(|p| p.workspace_names.clone()).unwrap_or_default(),
+            server_names: previous.map(|p| p.server_names.clone()).unwrap_or_default(),
+            model_names: previous.map(|p| p.model_names.clone()).unwrap_or_default(),
+            region_names: previous.map(|p| p.region_names.clone()).unwrap_or_default(),
+            domain_names: previous.map(|p| p.domain_names.clone()).unwrap_or_default(),
             classes: Default::default(),
             workspaces: Default::default(),
             servers: Default::default(),
-            callers: Default::default(),
+            workspaces_by_key: Default::default(),
             parts: Rc::new([]),
             tree: Rc::default(),
             warnings: vec![],
         }
     }
 
-    fn server(&mut self, tree: &Tree, branch: &Branch) -> Server {
+    fn resolve_server(&mut self, tree: &Tree, branch: &Branch) -> Server {
         let chain = tree.chain(branch);
         let kind = match chain.text(Leaf::Kind) {
             Some("plain") => ServerKind::Plain,
@@ -158,40 +177,45 @@
         }
     }
 
-    fn insert(
+    /// Resolves a workspace and adds it; a second branch of the same name or key is a fault.
+    fn insert_workspace(
         &mut self,
         tree: &Tree,
         branch: &Branch,
-        last: Option<&Effective>,
+        previous: Option<&Effective>,
         faults: &mut Vec<Fault>,
     ) {
-        let workspace = self.workspace(tree, branch);
-        let mut fault = |leaf: Option<Leaf>, cause| faults.push(fault(branch, leaf, cause));
-        let explicit = branch.get(Leaf::Servers).is_some();
+        let workspace = self.resolve_workspace(tree, branch);
+        let mut add_fault =
+            |leaf: Option<Leaf>, cause| faults.push(branch_fault(branch, leaf, cause));
+        let explicit = branch.assignment(Leaf::Servers).is_some();
         if explicit && workspace.servers.is_empty() {
-            fault(Some(Leaf::Servers), Cause::NoServers);
+            add_fault(Some(Leaf::Servers), Cause::NoAllowedServer);
         }
         let key = self.workspace_names.intern(&branch.name);
         if self.workspaces.contains_key(key) {
-            let first = self.place(&branch.name).unwrap_or_else(|| branch.place.clone());
-            return fault(None, Cause::Twice(first));
+            let first =
+                self.workspace_location(&branch.name).unwrap_or_else(|| branch.location.clone());
+            return add_fault(None, Cause::DuplicateBranch(first));
         }
         let digest = workspace.key_digest;
-        if let Some(other) = self.callers.insert(digest, key).filter(|_| digest != [0; 32]) {
+        if let Some(other) =
+            self.workspaces_by_key.insert(digest, key).filter(|_| digest != [0; 32])
+        {
             let other = format!("workspace.{}", self.workspace_names.name(other));
-            fault(Some(Leaf::KeyDigest), Cause::Shared(other));
+            add_fault(Some(Leaf::KeyDigest), Cause::NotUnique(other));
         }
-        let held = last.and_then(|last| last.workspaces.get(key));
-        self.workspaces.insert(key, shared(workspace, held));
+        let earlier = previous.and_then(|previous| previous.workspaces.get(key));
+        self.workspaces.insert(key, share_if_equal(workspace, earlier));
     }
 
-    fn workspace(&mut self, tree: &Tree, branch: &Branch) -> Workspace {
+    fn resolve_workspace(&mut self, tree: &Tree, branch: &Branch) -> Workspace {
         let chain = tree.chain(branch);
         let class = chain.text(Leaf::Class).unwrap_or_default();
         let servers = chain.texts(Leaf::Servers).iter();
         Workspace {
             name: branch.name.to_string(),
-            key_digest: bytes(chain.text(Leaf::KeyDigest).unwrap_or_default()),
+            key_digest: parse_key_digest(chain.text(Leaf::KeyDigest).unwrap_or_default()),
             class: self.class_names.intern(class),
             weight: chain.number(Leaf::Weight) as u32,
             in_flight: chain.number(Leaf::InFlight) as u32,
@@ -199,34 +223,35 @@
         }
     }
 
-    /// Where the branch of a workspace begins.
-    fn place(&self, name: &str) -> Option<crate::fault::Place> {
+    /// Returns where the branch of a workspace begins.
+    fn workspace_location(&self, name: &str) -> Option<crate::fault::Location> {
         let mut branches = self.parts.iter().flat_map(|part| &part.branches);
         let found = branches.find(|b| b.kind == Kind::Workspace && &*b.name == name);
-        found.map(|branch| branch.place.clone())
+        found.map(|branch| branch.location.clone())
     }
 
-    /// What is allowed, but hardly meant.
-    fn warn(&self, tree: &Tree) -> Vec<Fault> {
+    /// Returns a warning for each value that is valid but probably a mistake: two tiers of one rank, two
+    /// servers of one address, and a limit on requests in flight above the slots of all servers.
+    fn find_warnings(&self, tree: &Tree) -> Vec<Fault> {
         let mut warnings = vec![];
-        let shares = [(Kind::Tier, Leaf::Rank), (Kind::Server, Leaf::Address)];
-        for (kind, leaf) in shares {
+        let usually_unique = [(Kind::Tier, Leaf::Rank), (Kind::Server, Leaf::Address)];
+        for (kind, leaf) in usually_unique {
             let mut seen = std::collections::HashMap::new();
             for branch in tree.branches(kind) {
-                let Some(set) = branch.get(leaf) else { continue };
+                let Some(set) = branch.assignment(leaf) else { continue };
                 if let Some(first) = seen.insert(set.value.to_string(), branch.path()) {
-                    warnings.push(fault(branch, Some(leaf), Cause::Shared(first)));
+                    warnings.push(branch_fault(branch, Some(leaf), Cause::NotUnique(first)));
                 }
             }
         }
         let slots: u64 = self.servers.values().map(|server| u64::from(server.slots)).sum();
         for kind in [Kind::Deployment, Kind::Tier, Kind::Class] {
             for branch in tree.branches(kind) {
-                let said = branch.get(Leaf::InFlight).map(|set| set.value.to_string());
-                let given = said.and_then(|text| text.parse().ok()).filter(|given| *given > slots);
+                let text = branch.assignment(Leaf::InFlight).map(|set| set.value.to_string());
+                let given = text.and_then(|text| text.parse().ok()).filter(|given| *given > slots);
                 if let Some(given) = given {
-                    let cause = Cause::Above { given, slots };
-                    warnings.push(fault(branch, Some(Leaf::InFlight), cause));
+                    let cause = Cause::ExceedsSlots { given, slots };
+                    warnings.push(branch_fault(branch, Some(Leaf::InFlight), cause));
                 }
             }
         }
@@ -235,52 +260,56 @@
     }
 }
 
-/// Parts that differ between a revision in force and the next, where only workspaces do.
+/// Parts that differ between the revision in force and the next one, if they hold only workspaces.
 struct Change {
-    gone: Vec<Rc<Part>>,
-    fresh: Vec<Rc<Part>>,
+    removed: Vec<Rc<Part>>,
+    added: Vec<Rc<Part>>,
 }
 
 impl Change {
-    fn between(last: &Effective, parts: &[Rc<Part>]) -> Option<Self> {
-        let held: HashSet<_> = last.parts.iter().map(Rc::as_ptr).collect();
-        let kept: HashSet<_> = parts.iter().map(Rc::as_ptr).collect();
-        let gone: Vec<_> = last.parts.iter().filter(|p| !kept.contains(&Rc::as_ptr(p))).collect();
-        let fresh: Vec<_> = parts.iter().filter(|p| !held.contains(&Rc::as_ptr(p))).collect();
-        let mut branches = gone.iter().chain(&fresh).flat_map(|part| &part.branches);
-        let small = branches.all(|branch| branch.kind == Kind::Workspace);
-        // A part listed twice is a fault that only the whole way finds.
-        if !small || kept.len() != parts.len() {
+    /// Returns `None` if a changed part holds a branch of another kind, or a part is listed twice.
+    fn between(previous: &Effective, parts: &[Rc<Part>]) -> Option<Self> {
+        let old: HashSet<_> = previous.parts.iter().map(Rc::as_ptr).collect();
+        let new: HashSet<_> = parts.iter().map(Rc::as_ptr).collect();
+        let removed: Vec<_> =
+            previous.parts.iter().filter(|p| !new.contains(&Rc::as_ptr(p))).collect();
+        let added: Vec<_> = parts.iter().filter(|p| !old.contains(&Rc::as_ptr(p))).collect();
+        let mut branches = removed.iter().chain(&added).flat_map(|part| &part.branches);
+        let only_workspaces = branches.all(|branch| branch.kind == Kind::Workspace);
+        // A part listed twice is a fault that only resolving all branches finds.
+        if !only_workspaces || new.len() != parts.len() {
             return None;
         }
         Some(Change {
-            gone: gone.into_iter().cloned().collect(),
-            fresh: fresh.into_iter().cloned().collect(),
+            removed: removed.into_iter().cloned().collect(),
+            added: added.into_iter().cloned().collect(),
         })
     }
 }
 
-fn shared<T: PartialEq>(value: T, held: Option<&Rc<T>>) -> Rc<T> {
-    match held {
-        Some(held) if **held == value => held.clone(),
+/// Returns the earlier value's pointer if it equals the new value.
+fn share_if_equal<T: PartialEq>(value: T, earlier: Option<&Rc<T>>) -> Rc<T> {
+    match earlier {
+        Some(earlier) if **earlier == value => earlier.clone(),
         _ => Rc::new(value),
     }
 }
 
-fn fault(branch: &Branch, leaf: Option<Leaf>, cause: Cause) -> Fault {
-    let set = leaf.and_then(|leaf| branch.get(leaf));
-    let place = set.map_or_else(|| branch.place.clone(), |set| branch.at(set));
+/// Returns a fault at a leaf of a branch, or at the branch itself.
+fn branch_fault(branch: &Branch, leaf: Option<Leaf>, cause: Cause) -> Fault {
+    let set = leaf.and_then(|leaf| branch.assignment(leaf));
+    let location = set.map_or_else(|| branch.location.clone(), |set| branch.location_of(set));
     let path = match leaf {
-        Some(leaf) => format!("{}.{}", branch.path(), leaf.about().name),
+        Some(leaf) => format!("{}.{}", branch.path(), leaf.spec().name),
         None => branch.path(),
     };
-    Fault { place, path, cause }
+    Fault { location, path, cause }
 }
 
-/// Adds a fault for each leaf without which the branch is of no use.
-fn unset(tree: &Tree, branch: &Branch, faults: &mut Vec<Fault>) {
+/// Adds a fault for each required leaf of the branch that has no value.
+fn check_required(tree: &Tree, branch: &Branch, faults: &mut Vec<Fault>) {
     let chain = tree.chain(branch);
-    let needed: &[Leaf] = match branch.kind {
+    let required: &[Leaf] = match branch.kind {
         Kind::Domain => &[Leaf::Region],
         Kind::Tier => &[Leaf::Rank],
         Kind::Class => &[Leaf::Tier],
@@ -291,71 +320,74 @@
         Kind::Server => &[Leaf::Address, Leaf::Domain, Leaf::Models],
         Kind::Deployment | Kind::Region | Kind::Engine => &[],
     };
-    for leaf in needed.iter().filter(|leaf| chain.value(**leaf).is_none()) {
-        faults.push(fault(branch, Some(*leaf), Cause::Unset));
+    for leaf in required.iter().filter(|leaf| chain.value(**leaf).is_none()) {
+        faults.push(branch_fault(branch, Some(*leaf), Cause::RequiredUnset));
     }
 }
 
-fn class(tree: &Tree, branch: &Branch, faults: &mut Vec<Fault>) -> Class {
+fn resolve_class(tree: &Tree, branch: &Branch, faults: &mut Vec<Fault>) -> Class {
     let chain = tree.chain(branch);
     let bounds = [
         (Leaf::FirstToken, Leaf::Deadline, "deadline"),
         (Leaf::LongestWait, Leaf::Deadline, "deadline"),
     ];
     for (leaf, bound, other) in bounds {
-        // Only what operators said contradicts itself; a default gives way.
-        let (Some((by, set)), Some(_)) = (chain.said(leaf).next(), chain.said(bound).next()) else {
+        // Only two values that operators set can contradict each other; a default is no fault.
+        let (Some((by, set)), Some(_)) =
+            (chain.assignments(leaf).next(), chain.assignments(bound).next())
+        else {
             continue;
         };
-        if chain.time(leaf) > chain.time(bound) {
+        if chain.duration(leaf) > chain.duration(bound) {
             let limit = chain.value(bound).map(ToString::to_string).unwrap_or_default();
-            let cause = Cause::Longer { given: set.value.to_string(), other, limit };
-            let path = format!("{}.{}", branch.path(), leaf.about().name);
-            faults.push(Fault { place: by.at(set), path, cause });
+            let cause = Cause::ExceedsTime { given: set.value.to_string(), other, limit };
+            let path = format!("{}.{}", branch.path(), leaf.spec().name);
+            faults.push(Fault { location: by.location_of(set), path, cause });
         }
     }
     Class {
         name: branch.name.to_string(),
         rank: chain.number(Leaf::Rank) as u8,
         weight: chain.number(Leaf::Weight) as u32,
-        first_token: chain.time(Leaf::FirstToken),
-        token_interval: chain.time(Leaf::TokenInterval),
-        longest_wait: chain.time(Leaf::LongestWait),
-        deadline: chain.time(Leaf::Deadline),
+        first_token: chain.duration(Leaf::FirstToken),
+        token_interval: chain.duration(Leaf::TokenInterval),
+        longest_wait: chain.duration(Leaf::LongestWait),
+        deadline: chain.duration(Leaf::Deadline),
         queue: chain.number(Leaf::Queue) as usize,
         attempts: chain.number(Leaf::Attempts) as u8,
         idempotent: chain.flag(Leaf::Idempotent),
     }
 }
 
-fn limits(chain: &Chain<'_>) -> Limits {
+fn resolve_limits(chain: &Chain<'_>) -> Limits {
     Limits {
         connections: chain.number(Leaf::Connections) as usize,
         max_head: chain.number(Leaf::MaxHead) as usize,
-        head_time: chain.time(Leaf::HeadTime),
-        slow_reader: chain.time(Leaf::SlowReader),
-        balancer: chain.time(Leaf::Balancer),
+        head_time: chain.duration(Leaf::HeadTime),
+        slow_reader: chain.duration(Leaf::SlowReader),
+        balancer: chain.duration(Leaf::Balancer),
         retry_percent: chain.number(Leaf::RetryPercent) as u32,
-        key_window: chain.time(Leaf::KeyWindow),
-        skew: chain.time(Leaf::Skew),
-        list_lag: chain.time(Leaf::ListLag),
+        key_window: chain.duration(Leaf::KeyWindow),
+        skew: chain.duration(Leaf::Skew),
+        list_lag: chain.duration(Leaf::ListLag),
         link_bytes: chain.number(Leaf::LinkRate),
         store_bytes: chain.number(Leaf::StoreRate),
         change_percent: chain.number(Leaf::ChangePercent) as u32,
         cell_nodes: chain.number(Leaf::CellNodes) as u32,
         cell_servers: chain.number(Leaf::CellServers) as u32,
-        exchange: chain.time(Leaf::Exchange),
+        exchange: chain.duration(Leaf::Exchange),
         control_bytes: chain.number(Leaf::ControlRate) as u32,
         max_body: chain.number(Leaf::MaxBody) as usize,
-        body_time: chain.time(Leaf::BodyTime),
-        idle_stream: chain.time(Leaf::IdleStream),
-        connect: chain.time(Leaf::Connect),
-        grace: chain.time(Leaf::Grace),
+        body_time: chain.duration(Leaf::BodyTime),
+        idle_stream: chain.duration(Leaf::IdleStream),
+        connect: chain.duration(Leaf::Connect),
+        grace: chain.duration(Leaf::Grace),
     }
 }
 
-/// The bytes of a digest that was checked to be hexadecimal; zeros if it wasn't.
-fn bytes(hex: &str) -> KeyDigest {
+/// Parses a digest in hexadecimal, which [`Type::Digest`](crate::Type::Digest) has validated; invalid
+/// digits give zero bytes.
+fn parse_key_digest(hex: &str) -> KeyDigest {
     let mut digest = [0; 32];
     for (byte, pair) in digest.iter_mut().zip(hex.as_bytes().chunks(2)) {
         let pair = std::str::from_utf8(pair).unwrap_or_default();
@@ -364,17 +396,17 @@
     digest
 }
 
-/// Digest of a bearer key, as the tree holds it.
+/// Returns the SHA-256 digest of a bearer key, as the tree stores it.
 ///
 /// ```
-/// assert_eq!(settings::show_digest(&settings::key_digest("a")).len(), 64);
+/// assert_eq!(settings::format_digest(&settings::key_digest("a")).len(), 64);
 /// ```
 pub fn key_digest(key: &str) -> KeyDigest {
     use sha2::Digest;
     sha2::Sha256::digest(key.as_bytes()).into()
 }
 
-/// A digest of a key in hexadecimal.
-pub fn show_digest(digest: &KeyDigest) -> String {
+/// Formats the digest of a key in hexadecimal.
+pub fn format_digest(digest: &KeyDigest) -> String {
     digest.iter().map(|byte| format!("{byte:02x}")).collect()
 }
--- a/components/settings/src/effective.rs
+++ b/components/settings/src/effective.rs
@@ -1,4 +1,4 @@
-//! What a tree comes to.
+//! Holds the settings in force: each class, workspace and backend server with its inherited values.
 
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -11,11 +11,11 @@
 use crate::part::{self, Part};
 use crate::tree::Tree;
 
-/// SHA-256 of a bearer key. The tree holds only this, so that who reads it can't call.
+/// SHA-256 of a bearer key. The tree stores only digests, so that its readers can't call as the key's owner.
 pub type KeyDigest = [u8; 32];
 
 derives::data! {
-    /// A class, with all it inherits.
+    /// A class with its inherited values.
     pub struct Class {
         /// Name.
         pub name: String,
@@ -25,37 +25,37 @@
         pub weight: u32,
         /// Target for the first token.
         pub first_token: Duration,
-        /// Target between tokens.
+        /// Target for the time between two tokens.
         pub token_interval: Duration,
-        /// Longest time without being served while it waits.
+        /// Longest time that a request may wait without being served.
         pub longest_wait: Duration,
-        /// Of no use when finished later than this after its arrival.
+        /// Time after a request's arrival at which its answer loses its use.
         pub deadline: Duration,
-        /// Requests that may wait.
+        /// Requests that may wait on a node.
         pub queue: usize,
-        /// Attempts, the first included.
+        /// Attempts of a request, including the first.
         pub attempts: u8,
-        /// May be run more than once.
+        /// Whether a request may be run more than once.
         pub idempotent: bool,
     }
 
-    /// A workspace, with all it inherits.
+    /// A workspace with its inherited values.
     pub struct Workspace {
         /// Name.
         pub name: String,
         /// SHA-256 of its callers' bearer key.
         pub key_digest: KeyDigest,
-        /// Class of requests that name none.
+        /// Class of requests that don't name one.
         pub class: ids::Class,
-        /// Share among the workspaces of a class.
+        /// Share among the workspaces of its class.
         pub weight: u32,
-        /// Requests that may be in flight at once.
+        /// Requests that may be in flight at once on a node.
         pub in_flight: u32,
         /// Backend servers it may use; empty means all.
         pub servers: Vec<ids::Server>,
     }
 
-    /// What a backend server is.
+    /// Kind of a backend server.
     #[derive(Copy, Eq)]
     pub enum ServerKind {
         /// A model engine.
@@ -64,104 +64,105 @@
         Plain,
     }
 
-    /// A backend server, with all it inherits.
+    /// A backend server with its inherited values.
     pub struct Server {
         /// Name.
         pub name: String,
-        /// What it is.
+        /// Kind.
         pub kind: ServerKind,
         /// IP number and port.
         pub address: String,
-        /// Where it stands.
+        /// Its region.
         pub region: ids::Region,
         /// Its failure domain.
         pub domain: ids::Domain,
-        /// Requests it runs at once.
+        /// Requests that it runs at once.
         pub slots: u32,
         /// Models it serves, or the path prefix of a plain service.
         pub models: Vec<ids::Model>,
-        /// Takes no new work.
+        /// Whether it is being removed and takes no new requests.
         pub leaving: bool,
         /// Version of the models it should hold.
         pub version: Option<String>,
         /// Adapters it should hold.
         pub adapters: Vec<String>,
-        /// Its part in an answer.
+        /// Phases of an answer that it runs.
         pub role: Role,
-        /// Goes on with an answer that was begun elsewhere.
+        /// Whether it can resume an answer that another server began.
         pub resumes: bool,
-        /// Refuses an order with an old fencing number.
+        /// Whether it rejects orders with an outdated fencing token.
         pub fenced: bool,
-        /// Runs a call with a known idempotency key at most once by itself.
+        /// Whether it deduplicates calls by idempotency key itself, running each at most once.
         pub keyed: bool,
     }
 
-    /// Part of a backend server in an answer.
+    /// Phases of an answer that a backend server runs.
     #[derive(Copy, Eq)]
     pub enum Role {
-        /// Reads prompts and generates.
+        /// Prefill and decode.
         Mixed,
-        /// Reads prompts.
+        /// Prefill only.
         Prefill,
-        /// Generates.
+        /// Decode only.
         Decode,
     }
 
-    /// Limits of the deployment: on what comes in, on waiting, and on what nodes spend.
+    /// Limits of the deployment: on incoming requests, on time-outs, and on what nodes spend.
     pub struct Limits {
-        /// Connections of callers that a node holds.
+        /// Open connections of callers per node.
         pub connections: usize,
-        /// Largest head of a request in bytes.
+        /// Largest request head in bytes.
         pub max_head: usize,
-        /// Time for a caller to send a head.
+        /// Time limit for a caller to send a request head.
         pub head_time: Duration,
-        /// Longest time that a stream waits for its reader.
+        /// Longest time that a stream waits for a caller that doesn't read.
         pub slow_reader: Duration,
-        /// Time that a draining node's listeners stay open for the balancer to notice.
+        /// Time that a draining node keeps its listeners open, so that the load balancer notices.
         pub balancer: Duration,
-        /// Retries as a part of fresh work, in percent.
+        /// Retry budget: retries in percent of first attempts.
         pub retry_percent: u32,
-        /// How long a home remembers a key.
+        /// How long the owner of an idempotency key remembers it.
         pub key_window: Duration,
-        /// Bound on the difference between two clocks.
+        /// Upper bound on the skew between two nodes' clocks.
         pub skew: Duration,
-        /// Bound on the lag of the list of VMs.
+        /// Upper bound on the age of the list of VMs.
         pub list_lag: Duration,
-        /// Bytes a second that a node may send over the link between regions.
+        /// Bytes per second that a node may send over the link between regions.
         pub link_bytes: u64,
-        /// Bytes a second that all loads may take from the weight store.
+        /// Bytes per second that all model loads together may read from the weight store.
         pub store_bytes: u64,
-        /// Part of a pool that may be in change at once, in percent.
+        /// Largest fraction of a pool's servers that may be changing at once, in percent.
         pub change_percent: u32,
-        /// Nodes of a cell.
+        /// Nodes per cell.
         pub cell_nodes: u32,
-        /// Backend servers of a cell at most.
+        /// Most backend servers per cell.
         pub cell_servers: u32,
-        /// Time between two exchanges with a peer.
+        /// Time between two gossip exchanges with a peer.
         pub exchange: Duration,
-        /// Bytes a second that a node may send for control.
+        /// Bytes per second that a node may send to its peers as control traffic.
         pub control_bytes: u32,
-        /// Largest body of a request in bytes.
+        /// Largest request body in bytes.
         pub max_body: usize,
-        /// Time for a caller to send a body.
+        /// Time limit for a caller to send a request body.
         pub body_time: Duration,
-        /// Longest silence of a stream from a backend server.
+        /// Longest time without data in a stream from a backend server.
         pub idle_stream: Duration,
-        /// Longest time to connect to a backend server.
+        /// Time limit for connecting to a backend server.
         pub connect: Duration,
-        /// Longest time a drain waits for requests in flight.
+        /// Longest time that a drain waits for requests in flight.
         pub grace: Duration,
     }
 }
 
-/// Settings in force: one revision, whole. What a revision doesn't change it shares with the last.
+/// The settings in force, resolved from one complete revision. Values that a revision doesn't change are
+/// shared with the previous one.
 #[derive(Clone, Debug)]
 pub struct Effective {
-    /// Revision that the service gave it.
+    /// Revision number from the configuration service.
     pub revision: u64,
     /// Digest over its parts.
     pub digest: u64,
-    /// Limits.
+    /// Limits of the deployment.
     pub limits: Limits,
     /// Names of classes.
     pub class_names: Names<ids::Class>,
@@ -182,18 +183,22 @@
     /// Backend servers.
     pub servers: SecondaryMap<ids::Server, Rc<Server>>,
     /// Workspaces by the digest of their callers' key.
-    pub callers: HashMap<KeyDigest, ids::Workspace>,
-    /// Texts that it was read from.
+    pub workspaces_by_key: HashMap<KeyDigest, ids::Workspace>,
+    /// Parts that it was parsed from.
     pub parts: Rc<[Rc<Part>]>,
-    /// Branches, but for those of workspaces.
+    /// All branches except those of workspaces.
     pub tree: Rc<Tree>,
-    /// What is allowed, but hardly meant.
+    /// Values that are valid but probably a mistake.
     pub warnings: Vec<Fault>,
 }
 
 impl Effective {
-    /// Works out a revision from its parts, each a name and a text; keys of names carry over from
-    /// `last`, and what is as before is shared with it. All or nothing: the error holds every fault.
+    /// Parses and resolves a revision from its parts, each a name and a text. Names keep the keys that
+    /// they have in `previous`, and unchanged values are shared with it.
+    ///
+    /// # Errors
+    ///
+    /// Returns all faults of the revision, ordered by location.
     ///
     /// ```
     /// let parts = [("a".to_string(), "[tier.top]\nrank = 0".to_string())];
@@ -203,24 +208,25 @@
     pub fn build(
         revision: u64,
         parts: &[(String, String)],
-        last: Option<&Effective>,
+        previous: Option<&Effective>,
     ) -> Result<Self, Faults> {
-        let read = |(name, text): &(String, String)| {
-            let held = last.and_then(|last| last.part(&part::digest(text)));
-            let held = held.filter(|held| *held.name == **name);
-            held.cloned().unwrap_or_else(|| Rc::new(Part::parse(name, text)))
+        let parse = |(name, text): &(String, String)| {
+            let unchanged =
+                previous.and_then(|previous| previous.part_by_digest(&part::text_digest(text)));
+            let unchanged = unchanged.filter(|part| *part.name == **name);
+            unchanged.cloned().unwrap_or_else(|| Rc::new(Part::parse(name, text)))
         };
-        Self::compose(revision, parts.iter().map(read).collect(), last)
+        Self::from_parts(revision, parts.iter().map(parse).collect(), previous)
     }
 
-    /// The part with a digest.
-    pub fn part(&self, digest: &str) -> Option<&Rc<Part>> {
+    /// Returns the part whose text has the digest.
+    pub fn part_by_digest(&self, digest: &str) -> Option<&Rc<Part>> {
         self.parts.iter().find(|part| part.digest == digest)
     }
 
-    /// The workspace of a caller's bearer key, by its digest.
-    pub fn caller(&self, digest: &KeyDigest) -> Option<(ids::Workspace, &Rc<Workspace>)> {
-        let key = *self.callers.get(digest)?;
+    /// Returns the workspace whose callers use the bearer key with this digest.
+    pub fn workspace_by_key(&self, digest: &KeyDigest) -> Option<(ids::Workspace, &Rc<Workspace>)> {
+        let key = *self.workspaces_by_key.get(digest)?;
         self.workspaces.get(key).map(|workspace| (key, workspace))
     }
 }
--- a/components/settings/src/error.rs
+++ b/components/settings/src/error.rs
@@ -1,6 +1,8 @@
+//! Defines the errors of loading a node's own settings.
+
 use std::path::PathBuf;
 
-/// A node's own settings that can't be used. Each message says what to change.
+/// Why a node's own settings can't be used. Each message says what to change.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
     /// The file can't be read.
@@ -8,15 +10,15 @@
     Unreadable {
         /// The file.
         path: PathBuf,
-        /// What the system said.
+        /// Error of the operating system.
         source: std::io::Error,
     },
     /// The text isn't the expected TOML.
     #[error("{origin}: {source}")]
     Malformed {
-        /// File or part.
+        /// File that the text comes from.
         origin: String,
-        /// What is wrong, with line and column.
+        /// Parse error with line and column.
         source: Box<toml::de::Error>,
     },
 }
--- a/components/settings/src/explain.rs
+++ b/components/settings/src/explain.rs
@@ -1,37 +1,38 @@
-//! Why a value is in force, and what changes between two trees.
+//! Explains where each value in force comes from, and compares the effects of two trees.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
 use crate::effective::Effective;
-use crate::fault::Place;
+use crate::fault::Location;
 use crate::leaf::{Kind, Leaf};
 use crate::part::Branch;
 
 derives::data! {
-    /// A value that a branch says.
-    pub struct Said {
+    /// A value that a branch sets, and where.
+    pub struct Definition {
         /// Path of the branch.
         pub branch: String,
-        /// Where it stands.
-        pub place: Place,
+        /// Where the branch sets it.
+        pub location: Location,
         /// The value.
         pub value: String,
     }
 
-    /// A leaf of a branch with all that is said of it.
+    /// A leaf of a branch with the value in force and the values that it overrides.
     pub struct Row {
         /// The leaf.
         pub leaf: Leaf,
-        /// What is in force.
+        /// Value in force.
         pub value: Option<String>,
-        /// Who set it; none if it is the default.
-        pub set: Option<Said>,
-        /// What that overrides, the nearest first.
-        pub overrode: Vec<Said>,
+        /// Where the value is set; `None` if it is the default or there is none.
+        pub set_by: Option<Definition>,
+        /// Inherited values that it overrides, the nearest first.
+        pub overrides: Vec<Definition>,
     }
 
-    /// A leaf that differs between two trees; a branch that came or went differs in all it says.
+    /// A leaf whose value in force differs between two trees. An added or removed branch differs in every
+    /// leaf that has a value.
     pub struct Difference {
         /// Path of the leaf.
         pub path: String,
@@ -39,13 +40,13 @@
         pub old: Option<String>,
         /// Value after.
         pub new: Option<String>,
-        /// Where the new value stands, if a branch says it.
-        pub place: Option<Place>,
+        /// Where the new value is set, if it isn't a default.
+        pub location: Option<Location>,
     }
 }
 
 impl Effective {
-    /// The branches of a kind, in order of name.
+    /// Returns the branches of a kind, ordered by name.
     pub fn branches(&self, kind: Kind) -> Vec<&Rc<Branch>> {
         let all = self.parts.iter().flat_map(|part| &part.branches);
         let mut found: Vec<_> = all.filter(|branch| branch.kind == kind).collect();
@@ -53,39 +54,39 @@
         found
     }
 
-    /// The branch with a path such as `class.booking`.
+    /// Returns the branch with a path such as `class.booking`.
     pub fn branch(&self, path: &str) -> Option<&Rc<Branch>> {
         let mut all = self.parts.iter().flat_map(|part| &part.branches);
         all.find(|branch| branch.path() == path)
     }
 
-    /// All leaves of a branch, with who set them and what they override.
+    /// Returns all leaves of a branch, with where each is set and what it overrides.
     ///
     /// ```
     /// let parts = [("a".to_string(), "[tier.top]\nrank = 0\n[class.a]\ntier = \"top\"".to_string())];
     /// let effective = settings::Effective::build(1, &parts, None).unwrap();
     /// let rows = effective.explain(effective.branch("class.a").unwrap());
-    /// assert!(rows.iter().any(|row| row.leaf == settings::Leaf::Queue && row.set.is_none()));
+    /// assert!(rows.iter().any(|row| row.leaf == settings::Leaf::Queue && row.set_by.is_none()));
     /// ```
     pub fn explain(&self, branch: &Branch) -> Vec<Row> {
         let chain = self.tree.chain(branch);
-        let leaves = Leaf::ALL.iter().filter(|leaf| leaf.allowed(branch.kind));
+        let leaves = Leaf::ALL.iter().filter(|leaf| leaf.allowed_in(branch.kind));
         let row = |leaf: &Leaf| {
-            let mut said = chain.said(*leaf).map(|(by, set)| Said {
+            let mut definitions = chain.assignments(*leaf).map(|(by, set)| Definition {
                 branch: by.path(),
-                place: by.at(set),
+                location: by.location_of(set),
                 value: set.value.to_string(),
             });
-            let set = said.next();
+            let set_by = definitions.next();
             let value = chain.value(*leaf).map(ToString::to_string);
-            Row { leaf: *leaf, value, set, overrode: said.collect() }
+            Row { leaf: *leaf, value, set_by, overrides: definitions.collect() }
         };
         leaves.map(row).collect()
     }
 
-    /// What is different in effect in `new`, in order of path.
+    /// Returns the leaves whose values in force differ in `new`, ordered by path.
     pub fn differences(&self, new: &Effective) -> Vec<Difference> {
-        let (old, new) = (self.effects(), new.effects());
+        let (old, new) = (self.values_in_force(), new.values_in_force());
         let mut found = vec![];
         for (path, (value, _)) in &old {
             match new.get(path) {
@@ -94,56 +95,59 @@
                     path: path.clone(),
                     old: value.clone(),
                     new: now.and_then(|(now, _)| now.clone()),
-                    place: now.and_then(|(_, place)| place.clone()),
+                    location: now.and_then(|(_, location)| location.clone()),
                 }),
             }
         }
-        for (path, (value, place)) in new.iter().filter(|(path, _)| !old.contains_key(*path)) {
-            let (old, new, place) = (None, value.clone(), place.clone());
-            found.push(Difference { path: path.clone(), old, new, place });
+        for (path, (value, location)) in new.iter().filter(|(path, _)| !old.contains_key(*path)) {
+            let (old, new, location) = (None, value.clone(), location.clone());
+            found.push(Difference { path: path.clone(), old, new, location });
         }
         found.retain(|difference| difference.old != difference.new);
         found.sort_by(|a, b| a.path.cmp(&b.path));
         found
     }
 
-    fn effects(&self) -> BTreeMap<String, (Option<String>, Option<Place>)> {
+    /// Returns the value of each leaf, with its location if it is set, by path.
+    fn values_in_force(&self) -> BTreeMap<String, (Option<String>, Option<Location>)> {
         let kinds = [Kind::Deployment, Kind::Tier, Kind::Class, Kind::Workspace, Kind::Server];
-        let mut effects = BTreeMap::new();
+        let mut values = BTreeMap::new();
         for branch in kinds.into_iter().flat_map(|kind| self.branches(kind)) {
             for row in self.explain(branch) {
-                let path = format!("{}.{}", branch.path(), row.leaf.about().name);
-                effects.insert(path, (row.value, row.set.map(|set| set.place)));
+                let path = format!("{}.{}", branch.path(), row.leaf.spec().name);
+                values.insert(path, (row.value, row.set_by.map(|set_by| set_by.location)));
             }
         }
-        effects
+        values
     }
 
-    /// Who can be served in `self` and can't be in `new`, each told in a line.
-    pub fn losses(&self, new: &Effective) -> Vec<String> {
+    /// Returns a line for each workspace and model that has a usable backend server in `self` but none in
+    /// `new`.
+    pub fn lost_service(&self, new: &Effective) -> Vec<String> {
         let mut losses = vec![];
         for (key, workspace) in &self.workspaces {
             let after = new.workspace_names.key(&workspace.name);
             let after = after.and_then(|key| new.workspaces.get(key));
-            let open = after.is_none_or(|after| new.open(&after.servers) > 0);
-            if !open && self.open(&self.workspaces[key].servers) > 0 {
+            let served = after.is_none_or(|after| new.usable_servers(&after.servers) > 0);
+            if !served && self.usable_servers(&self.workspaces[key].servers) > 0 {
                 losses.push(format!("workspace.{} loses its last backend server", workspace.name));
             }
         }
-        let serving = |effective: &Effective| -> std::collections::BTreeSet<String> {
+        let served_models = |effective: &Effective| -> std::collections::BTreeSet<String> {
             let servers = effective.servers.values().filter(|server| !server.leaving);
             let models = servers.flat_map(|server| &server.models);
             models.map(|model| effective.model_names.name(*model).to_string()).collect()
         };
-        for model in serving(self).difference(&serving(new)) {
+        for model in served_models(self).difference(&served_models(new)) {
             losses.push(format!("`{model}` loses its last backend server"));
         }
         losses.sort();
         losses
     }
 
-    fn open(&self, servers: &[ids::Server]) -> usize {
-        let may = |key: &ids::Server| servers.is_empty() || servers.contains(key);
-        self.servers.iter().filter(|(key, server)| may(key) && !server.leaving).count()
+    /// Counts the allowed backend servers that take new requests; an empty list allows all.
+    fn usable_servers(&self, servers: &[ids::Server]) -> usize {
+        let allowed = |key: &ids::Server| servers.is_empty() || servers.contains(key);
+        self.servers.iter().filter(|(key, server)| allowed(key) && !server.leaving).count()
     }
 }
--- a/components/settings/src/fault.rs
+++ b/components/settings/src/fault.rs
@@ -1,4 +1,4 @@
-//! What can be wrong with a tree. All of it is told at once, each with its place and remedy.
+//! Defines the faults of a tree. All faults are reported at once, each with its location and remedy.
 
 use std::fmt;
 use std::sync::Arc;
@@ -6,121 +6,127 @@
 use crate::leaf::Kind;
 
 derives::data! {
-    /// Where something stands.
+    /// A line of a part.
     #[derive(Eq, PartialOrd, Ord)]
-    pub struct Place {
-        /// File or part.
+    pub struct Location {
+        /// File or name of the part.
         pub origin: Arc<str>,
         /// Line, counted from 1.
         pub line: usize,
     }
 
-    /// One fault.
+    /// A fault of a tree.
     #[derive(Eq, PartialOrd, Ord)]
     pub struct Fault {
-        /// Where it stands.
-        pub place: Place,
-        /// Path of the branch or leaf; empty for the whole text.
+        /// Where it was found.
+        pub location: Location,
+        /// Path of the branch or leaf; empty if the whole part is concerned.
         pub path: String,
-        /// What is wrong.
+        /// What is wrong and how to correct it.
         pub cause: Cause,
     }
 
-    /// What is wrong.
+    /// What is wrong, with a hint how to correct it.
     #[derive(Eq, PartialOrd, Ord, thiserror::Error)]
     pub enum Cause {
-        /// Not TOML.
+        /// The part isn't valid TOML.
         #[error("not TOML: {0}")]
         Syntax(String),
-        /// An unknown kind of branch.
+        /// No kind of branch has this name; holds the most similar one, if any.
         #[error("no kind of branch is named so{}; kinds are deployment, region, domain, engine, server, tier, class, workspace", hint(.0))]
-        Kind(Option<String>),
-        /// A value where a branch should stand.
+        UnknownKind(Option<String>),
+        /// A value was found instead of a branch; holds the path of the expected table.
         #[error("a branch should stand here; write it as a table [{0}]")]
-        Table(String),
-        /// An unknown leaf.
+        NotTable(String),
+        /// No leaf has this name; holds the most similar one, if any.
         #[error("no setting is named so{}; see docs/SETTINGS.md for those there are", hint(.0))]
-        Leaf(Option<String>),
-        /// A leaf on a branch of another kind.
+        UnknownLeaf(Option<String>),
+        /// This kind of branch can't have the leaf.
         #[error("a {kind} branch can't say this; {may} branches can")]
-        Scope {
-            /// The branch.
+        WrongKind {
+            /// Kind of the branch.
             kind: Kind,
-            /// Kinds that may.
+            /// Kinds of branch that can have the leaf.
             may: String,
         },
-        /// A value of another type or out of range.
+        /// The value has the wrong type or is out of range.
         #[error("{given} isn't allowed; write {allowed}")]
-        Value {
-            /// What was given.
+        InvalidValue {
+            /// Value in the tree.
             given: String,
-            /// What may be given.
+            /// Description of the allowed values.
             allowed: String,
         },
-        /// A name without a branch.
+        /// A leaf refers to a branch that doesn't exist.
         #[error("no [{kind}.{name}] exists{}; add it or name another", hint(near))]
-        Missing {
-            /// Kind of the branch.
+        MissingBranch {
+            /// Kind of the missing branch.
             kind: Kind,
-            /// The name.
+            /// Name of the missing branch.
             name: String,
-            /// The nearest known one.
+            /// The most similar name of an existing branch, if any.
             near: Option<String>,
         },
-        /// A value without which the branch is of no use.
+        /// A required leaf has no value.
         #[error("not set; say it here or in a branch it inherits from")]
-        Unset,
-        /// A branch that stands twice.
+        RequiredUnset,
+        /// The branch exists already; holds the first one's location.
         #[error("stands already at {0}; keep one of them")]
-        Twice(Place),
-        /// Two branches that share what must be one's own.
+        DuplicateBranch(Location),
+        /// Another branch, whose path it holds, has the same value, which must be unique.
         #[error("the same as {0} has; give each its own")]
-        Shared(String),
-        /// A list that leaves no backend server.
+        NotUnique(String),
+        /// The list allows no backend server.
         #[error("leaves no backend server; name one, or leave it out to allow all")]
-        NoServers,
-        /// Workspaces without any backend server in the tree.
+        NoAllowedServer,
+        /// The tree has workspaces but no backend server.
         #[error("no [server.NAME] exists, so no request can be served; add one")]
-        Serverless,
-        /// Two times that contradict each other.
+        NoServerBranch,
+        /// A duration is longer than another one that bounds it.
         #[error("{given} is longer than the {other} of {limit}; make it shorter")]
-        Longer {
-            /// What was given.
+        ExceedsTime {
+            /// Duration in the tree.
             given: String,
-            /// Name of the bound.
+            /// Name of the leaf that bounds it.
             other: &'static str,
-            /// The bound.
+            /// Value of that leaf.
             limit: String,
         },
-        /// More than its servers can run.
+        /// A limit on requests in flight is above what all backend servers can run at once.
         #[error("{given} is above the {slots} that its backend servers run at once; lower it or add servers")]
-        Above {
-            /// What was given.
+        ExceedsSlots {
+            /// Limit in the tree.
             given: u64,
-            /// What can be met.
+            /// Slots of all backend servers.
             slots: u64,
         },
     }
 
-    /// All faults of a tree, in order of place.
+    /// All faults of a tree, ordered by location.
     #[derive(Eq)]
     pub struct Faults(pub Vec<Fault>);
 }
 
+/// Formats the suggestion of a similar name; empty if there is none.
 fn hint(name: &Option<String>) -> String {
     name.as_ref().map(|name| format!(" (did you mean `{name}`?)")).unwrap_or_default()
 }
 
-/// The known name that is nearest to a wrong one, unless all are far.
-pub(crate) fn nearest<'a>(wrong: &str, known: impl IntoIterator<Item = &'a str>) -> Option<String> {
-    /// Jaro-Winkler similarity below which a hint would rather mislead.
-    const ALIKE: f64 = 0.75;
-    let rated = known.into_iter().map(|name| (strsim::jaro_winkler(wrong, name), name));
-    let best = rated.filter(|(alike, _)| *alike >= ALIKE).max_by(|a, b| a.0.total_cmp(&b.0));
+/// Returns the known name that is most similar to an unknown one, or `None` if no name is similar.
+pub(crate) fn nearest_match<'a>(
+    wrong: &str,
+    known: impl IntoIterator<Item = &'a str>,
+) -> Option<String> {
+    /// Least Jaro-Winkler similarity for a suggestion; names less similar would mislead.
+    const MIN_SIMILARITY: f64 = 0.75;
+    let scored = known.into_iter().map(|name| (strsim::jaro_winkler(wrong, name), name));
+    let best = scored
+        .filter(|(similarity, _)| *similarity >= MIN_SIMILARITY)
+        .max_by(|a, b| a.0.total_cmp(&b.0));
     best.map(|(_, name)| name.to_string())
 }
 
-impl fmt::Display for Place {
+impl fmt::Display for Location {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}:{}", self.origin, self.line)
     }
@@ -129,8 +135,8 @@
 impl fmt::Display for Fault {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self.path.as_str() {
-            "" => write!(f, "{}: {}", self.place, self.cause),
-            path => write!(f, "{}: {path}: {}", self.place, self.cause),
+            "" => write!(f, "{}: {}", self.location, self.cause),
+            path => write!(f, "{}: {path}: {}", self.location, self.cause),
         }
     }
 }
--- a/components/settings/src/leaf.rs
+++ b/components/settings/src/leaf.rs
@@ -1,5 +1,5 @@
-//! The one table of leaves: name, type, default, scope and meaning. Parsing, `explain` and
-//! `docs/SETTINGS.md` follow from it.
+//! Defines the table of all leaves with their names, types, defaults, scopes and help texts. Parsing,
+//! `explain` and `docs/SETTINGS.md` are driven by this table.
 
 use std::fmt;
 use std::sync::LazyLock;
@@ -9,27 +9,27 @@
 derives::value! {
     /// Kind of a branch.
     pub enum Kind {
-        /// The root; all inherit from it.
+        /// The root, from which all others inherit.
         Deployment,
         /// A region.
         Region,
         /// A failure domain.
         Domain,
-        /// A tier.
+        /// A priority tier of classes.
         Tier,
-        /// A class.
+        /// A class of requests.
         Class,
         /// A workspace.
         Workspace,
         /// A backend server.
         Server,
-        /// A build of backend servers that behave alike.
+        /// A group of backend servers that run the same build and share settings.
         Engine,
     }
 }
 
 impl Kind {
-    /// All kinds, in the order in which a tree is read.
+    /// All kinds, in the order in which a tree is resolved.
     pub const ALL: [Kind; 8] = [
         Kind::Deployment,
         Kind::Region,
@@ -41,7 +41,7 @@
         Kind::Workspace,
     ];
 
-    /// Its word in a tree.
+    /// Returns its name in a tree.
     pub fn as_str(self) -> &'static str {
         match self {
             Kind::Deployment => "deployment",
@@ -55,8 +55,8 @@
         }
     }
 
-    /// The kind with a word.
-    pub fn of(word: &str) -> Option<Kind> {
+    /// Returns the kind with a name.
+    pub fn from_word(word: &str) -> Option<Kind> {
         Kind::ALL.into_iter().find(|kind| kind.as_str() == word)
     }
 }
@@ -67,18 +67,18 @@
     }
 }
 
-/// What is known of a leaf.
+/// Specification of a leaf.
 #[derive(Debug)]
-pub struct About {
+pub struct Spec {
     /// Name in a tree.
     pub name: &'static str,
     /// Type of its value.
-    pub kind: Type,
-    /// What holds where no branch says it, as a tree would write it.
+    pub value_type: Type,
+    /// Value where no branch sets it, in the syntax of a tree; `None` if there is no default.
     pub default: Option<&'static str>,
-    /// Branches that may say it.
+    /// Kinds of branch that can set it.
     pub scope: &'static [Kind],
-    /// What it means.
+    /// Meaning, for the documentation.
     pub help: &'static str,
 }
 
@@ -94,9 +94,9 @@
             pub const ALL: &'static [Leaf] = &[$(Leaf::$leaf,)+];
         }
 
-        static TABLE: &[About] = &[$(About {
+        static TABLE: &[Spec] = &[$(Spec {
             name: $name,
-            kind: $kind,
+            value_type: $kind,
             default: $default,
             scope: &[$(Kind::$scope,)+],
             help: $help,
@@ -104,7 +104,8 @@
     };
 }
 
-const ANY: u64 = u32::MAX as u64;
+/// Upper bound of counts that have no bound of their own.
+const MAX_COUNT: u64 = u32::MAX as u64;
 
 leaves! {
     Rank "rank" Type::Count(0, 254), None, [Tier], "Rank of the tier; 0 is the highest.";
@@ -119,7 +120,7 @@
         "Longest time without being served while it waits.";
     Deadline "deadline" Type::Time, Some("60s"), [Deployment Tier Class],
         "An answer is of no use when finished later than this after the request's arrival.";
-    Queue "queue" Type::Count(0, ANY), Some("1000"), [Deployment Tier Class],
+    Queue "queue" Type::Count(0, MAX_COUNT), Some("1000"), [Deployment Tier Class],
         "Requests that may wait on a node.";
     Attempts "attempts" Type::Count(1, 10), Some("2"), [Deployment Tier Class],
         "Attempts of a request, the first included.";
@@ -129,7 +130,7 @@
         "SHA-256 of the callers' bearer key; `godwitlever digest` makes it.";
     Class "class" Type::Ref(Kind::Class), None, [Deployment Workspace],
         "Class of requests that name none.";
-    InFlight "in_flight" Type::Count(1, ANY), Some("4294967295"),
+    InFlight "in_flight" Type::Count(1, MAX_COUNT), Some("4294967295"),
         [Deployment Tier Class Workspace], "Requests in flight at once on a node.";
     Servers "servers" Type::Refs(Kind::Server), Some("[]"), [Deployment Tier Class Workspace],
         "Backend servers it may use; all where no branch says it.";
@@ -160,7 +161,7 @@
         "Refuses an order with an old fencing number.";
     Keyed "keyed" Type::Flag, Some("false"), [Deployment Region Domain Engine Server],
         "Runs a call with a known idempotency key at most once by itself.";
-    Connections "connections" Type::Count(1, ANY), Some("10000"), [Deployment],
+    Connections "connections" Type::Count(1, MAX_COUNT), Some("10000"), [Deployment],
         "Connections of callers that a node holds.";
     MaxHead "max_head" Type::Size, Some("16KiB"), [Deployment], "Largest head of a request.";
     HeadTime "head_time" Type::Time, Some("5s"), [Deployment], "Time to send a head.";
@@ -200,32 +201,32 @@
 }
 
 static DEFAULTS: LazyLock<Vec<Option<Value>>> = LazyLock::new(|| {
-    let read = |about: &About| about.default.and_then(|text| about.kind.read_text(text));
-    TABLE.iter().map(read).collect()
+    let parse = |spec: &Spec| spec.default.and_then(|text| spec.value_type.parse_default(text));
+    TABLE.iter().map(parse).collect()
 });
 
 impl Leaf {
-    /// What is known of it.
+    /// Returns its specification.
     ///
     /// ```
-    /// assert_eq!(settings::Leaf::FirstToken.about().name, "first_token");
+    /// assert_eq!(settings::Leaf::FirstToken.spec().name, "first_token");
     /// ```
-    pub fn about(self) -> &'static About {
+    pub fn spec(self) -> &'static Spec {
         &TABLE[self as usize]
     }
 
-    /// What holds where no branch says it.
+    /// Returns its value where no branch sets it.
     pub fn default(self) -> Option<&'static Value> {
         DEFAULTS[self as usize].as_ref()
     }
 
-    /// The leaf with a name.
-    pub fn of(name: &str) -> Option<Leaf> {
-        Leaf::ALL.iter().copied().find(|leaf| leaf.about().name == name)
+    /// Returns the leaf with a name.
+    pub fn from_name(name: &str) -> Option<Leaf> {
+        Leaf::ALL.iter().copied().find(|leaf| leaf.spec().name == name)
     }
 
-    /// Whether a kind of branch may say it.
-    pub fn allowed(self, kind: Kind) -> bool {
-        self.about().scope.contains(&kind)
+    /// Returns whether a kind of branch can set it.
+    pub fn allowed_in(self, kind: Kind) -> bool {
+        self.spec().scope.contains(&kind)
     }
 }
--- a/components/settings/src/lib.rs
+++ b/components/settings/src/lib.rs
@@ -1,5 +1,5 @@
-//! The tree of settings that operators publish, what it comes to for each class, workspace and
-//! backend server, and the few settings a node has of its own.
+//! Parses and validates the tree of settings that operators publish, resolves the values in force for
+//! each class, workspace and backend server, and parses a node's own settings file.
 
 mod build;
 mod effective;
@@ -7,21 +7,21 @@
 mod explain;
 mod fault;
 mod leaf;
-pub mod mark;
 mod names;
 pub mod node;
 pub mod part;
 mod tree;
 pub mod unit;
 mod value;
+pub mod watermark;
 
-pub use build::{key_digest, show_digest};
+pub use build::{format_digest, key_digest};
 pub use effective::{Class, Effective, KeyDigest, Limits, Role, Server, ServerKind, Workspace};
 pub use error::Error;
-pub use explain::{Difference, Row, Said};
-pub use fault::{Cause, Fault, Faults, Place};
-pub use leaf::{About, Kind, Leaf};
+pub use explain::{Definition, Difference, Row};
+pub use fault::{Cause, Fault, Faults, Location};
+pub use leaf::{Kind, Leaf, Spec};
 pub use names::Names;
-pub use part::{Branch, Part, Set};
+pub use part::{Assignment, Branch, Part};
 pub use tree::{Chain, Tree};
 pub use value::{Type, Value};
--- a/components/settings/src/names.rs
+++ b/components/settings/src/names.rs
@@ -1,3 +1,5 @@
+//! Interns names as keys that stay the same over all revisions.
+
 use std::collections::HashMap;
 use std::rc::Rc;
 
@@ -9,8 +11,8 @@
     keys: HashMap<Rc<str>, K>,
 }
 
-/// Names of one kind and their keys. A name keeps its key over all revisions in a process; clones
-/// share one table until one of them takes in a new name.
+/// Names of one kind and their keys. A name keeps its key over all revisions in a process. Clones share
+/// one table until a new name is added to one of them.
 #[derive(Clone, Debug)]
 pub struct Names<K: Key>(Rc<Table<K>>);
 
@@ -21,7 +23,7 @@
 }
 
 impl<K: Key> Names<K> {
-    /// The key of a name, made if it is new.
+    /// Returns the key of a name, adding the name if it is new.
     ///
     /// ```
     /// let mut names = settings::Names::<ids::Class>::default();
@@ -40,12 +42,12 @@
         key
     }
 
-    /// The key of a name, if it has one.
+    /// Returns the key of a name, if it has one.
     pub fn key(&self, name: &str) -> Option<K> {
         self.0.keys.get(name).copied()
     }
 
-    /// The name of a key; empty for a key of another table.
+    /// Returns the name of a key; empty if the table doesn't hold the key.
     pub fn name(&self, key: K) -> &str {
         self.0.names.get(key).map_or("", |name| name)
     }
--- a/components/settings/src/node.rs
+++ b/components/settings/src/node.rs
@@ -1,4 +1,4 @@
-//! A node's own settings: what it must know before it can read anything else.
+//! Parses a node's own settings, which it needs before it can fetch the tree.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -12,46 +12,50 @@
     #[derive(Deserialize)]
     #[serde(deny_unknown_fields)]
     pub struct Node {
-        /// Name, unique among the nodes.
+        /// Name; must be unique among the nodes.
         pub name: String,
-        /// The region it stands in.
+        /// Region of the node.
         pub region: String,
-        /// The failure domain it stands in.
+        /// Failure domain of the node.
         pub domain: String,
-        /// Listener for callers.
+        /// Listening address for callers.
         pub callers: SocketAddr,
-        /// Listener for peers.
+        /// Listening address for peers.
         pub peers: SocketAddr,
-        /// Listener for operators.
+        /// Listening address for operators.
         pub operators: SocketAddr,
         /// Address of the configuration service.
         pub configuration: SocketAddr,
         /// Address of the list of VMs.
         pub list: SocketAddr,
-        /// Peers' listeners that are asked before the list is known.
+        /// Peers' addresses to contact until the list of VMs is known.
         #[serde(default)]
         pub seeds: Vec<SocketAddr>,
-        /// Shared secret of the nodes.
+        /// Secret shared by all nodes.
         pub secret: String,
-        /// Form of the log.
+        /// Format of the log.
         #[serde(default)]
-        pub log: Log,
+        pub log: LogFormat,
     }
 
-    /// Form of the log.
+    /// Format of the log.
     #[derive(Default, Deserialize)]
     #[serde(rename_all = "lowercase")]
-    pub enum Log {
-        /// One line of `key=value` pairs a record.
+    pub enum LogFormat {
+        /// One line of `key=value` pairs per record.
         #[default]
         Text,
-        /// One JSON object a record.
+        /// One JSON object per record.
         Json,
     }
 }
 
 impl Node {
-    /// Reads a node's settings from TOML; `origin` names the text in errors.
+    /// Parses a node's settings from TOML; `origin` names the text in errors.
+    ///
+    /// # Errors
+    ///
+    /// Returns [`Error::Malformed`] if the text isn't valid TOML or has an unknown, missing or wrong field.
     ///
     /// ```
     /// assert!(settings::node::Node::parse("nonsense = 1", "node.toml").is_err());
@@ -63,7 +67,11 @@
         })
     }
 
-    /// Reads a node's settings from a file.
+    /// Reads and parses a node's settings file.
+    ///
+    /// # Errors
+    ///
+    /// Returns [`Error::Unreadable`] if the file can't be read, and the errors of [`Node::parse`].
     pub fn load(path: &Path) -> Result<Self, Error> {
         let text = std::fs::read_to_string(path)
             .map_err(|source| Error::Unreadable { path: path.to_path_buf(), source })?;
--- a/components/settings/src/part.rs
+++ b/components/settings/src/part.rs
@@ -1,4 +1,4 @@
-//! One text of a tree and its branches. A part is read once; revisions that don't change it share it.
+//! Parses one part of a tree into branches. A part is parsed once; revisions that don't change it share it.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -7,36 +7,36 @@
 use toml::de::{DeTable, DeValue};
 use xxhash_rust::xxh3::xxh3_64;
 
-use crate::fault::{Cause, Fault, Place, nearest};
+use crate::fault::{Cause, Fault, Location, nearest_match};
 use crate::leaf::{Kind, Leaf};
 use crate::value::Value;
 
 derives::data! {
-    /// A value that a branch says.
-    pub struct Set {
+    /// A leaf's value that a branch sets.
+    pub struct Assignment {
         /// The leaf.
         pub leaf: Leaf,
         /// Its value.
         pub value: Value,
-        /// Line where it stands.
+        /// Line in the part, counted from 1.
         pub line: usize,
     }
 
-    /// A branch with what it says itself.
+    /// A branch with the values that it sets itself.
     pub struct Branch {
         /// Kind.
         pub kind: Kind,
         /// Name; empty for the deployment.
         pub name: Rc<str>,
-        /// Where it begins.
-        pub place: Place,
-        /// What it says.
-        pub sets: Vec<Set>,
+        /// Where it begins in the part.
+        pub location: Location,
+        /// Values that it sets.
+        pub assignments: Vec<Assignment>,
     }
 
-    /// One text of a tree.
+    /// One text of a tree, in TOML.
     pub struct Part {
-        /// Name of the part, or its file.
+        /// Name of the part, or path of its file.
         pub name: Rc<str>,
         /// Digest of its text.
         pub digest: String,
@@ -44,24 +44,24 @@
         pub text: Rc<str>,
         /// Its branches.
         pub branches: Vec<Rc<Branch>>,
-        /// What is wrong with it by itself.
+        /// Faults that are found without the other parts.
         pub faults: Vec<Fault>,
     }
 }
 
-/// Digest of a part's text: XXH3 of 64 bits in hexadecimal.
-pub fn digest(text: &str) -> String {
+/// Returns the digest of a part's text: 64-bit XXH3 in hexadecimal.
+pub fn text_digest(text: &str) -> String {
     format!("{:016x}", xxh3_64(text.as_bytes()))
 }
 
-/// Digest of a revision from the names and digests of its parts, in whatever order.
+/// Returns the digest of a revision from the names and digests of its parts, whose order doesn't matter.
 ///
 /// ```
-/// let one = settings::part::whole([("a", "1"), ("b", "2")]);
-/// assert_eq!(one, settings::part::whole([("b", "2"), ("a", "1")]));
-/// assert_ne!(one, settings::part::whole([("b", "1"), ("a", "2")]));
+/// let one = settings::part::revision_digest([("a", "1"), ("b", "2")]);
+/// assert_eq!(one, settings::part::revision_digest([("b", "2"), ("a", "1")]));
+/// assert_ne!(one, settings::part::revision_digest([("b", "1"), ("a", "2")]));
 /// ```
-pub fn whole<'a>(parts: impl IntoIterator<Item = (&'a str, &'a str)>) -> u64 {
+pub fn revision_digest<'a>(parts: impl IntoIterator<Item = (&'a str, &'a str)>) -> u64 {
     let mut parts: Vec<_> = parts.into_iter().collect();
     parts.sort_unstable();
     let mut text = String::new();
@@ -72,13 +72,13 @@
 }
 
 impl Branch {
-    /// A deployment that says nothing.
+    /// Returns a deployment branch that sets nothing.
     pub(crate) fn root() -> Self {
-        let place = Place { origin: "".into(), line: 0 };
-        Branch { kind: Kind::Deployment, name: "".into(), place, sets: vec![] }
+        let location = Location { origin: "".into(), line: 0 };
+        Branch { kind: Kind::Deployment, name: "".into(), location, assignments: vec![] }
     }
 
-    /// Its path, such as `class.booking`.
+    /// Returns its path, such as `class.booking`.
     pub fn path(&self) -> String {
         match self.kind {
             Kind::Deployment => self.kind.to_string(),
@@ -86,19 +86,20 @@
         }
     }
 
-    /// What it says of a leaf.
-    pub fn get(&self, leaf: Leaf) -> Option<&Set> {
-        self.sets.iter().find(|set| set.leaf == leaf)
+    /// Returns its own value of a leaf, without inheritance.
+    pub fn assignment(&self, leaf: Leaf) -> Option<&Assignment> {
+        self.assignments.iter().find(|set| set.leaf == leaf)
     }
 
-    /// Where a value of it stands.
-    pub fn at(&self, set: &Set) -> Place {
-        Place { origin: self.place.origin.clone(), line: set.line }
+    /// Returns where one of its values is set.
+    pub fn location_of(&self, set: &Assignment) -> Location {
+        Location { origin: self.location.origin.clone(), line: set.line }
     }
 }
 
 impl Part {
-    /// Reads a text. What is wrong with it is kept, so that all faults of a tree can be told.
+    /// Parses a text. Its faults are stored in the part, so that all faults of a tree can be reported at
+    /// once. A text with a syntax error gives no branches.
     ///
     /// ```
     /// let part = settings::Part::parse("tree.toml", "[tier.top]\nrnk = 0");
@@ -106,90 +107,92 @@
     /// ```
     pub fn parse(name: &str, text: &str) -> Self {
         let name: Rc<str> = name.into();
-        let mut reader =
-            Reader { origin: name.as_ref().into(), lines: lines(text), faults: vec![] };
+        let mut parser =
+            Parser { origin: name.as_ref().into(), line_starts: line_starts(text), faults: vec![] };
         let (table, errors) = DeTable::parse_recoverable(text);
         for error in errors {
-            let line = reader.line(error.span().map_or(0, |span| span.start));
-            reader.fault(line, String::new(), Cause::Syntax(error.message().to_string()));
+            let line = parser.line(error.span().map_or(0, |span| span.start));
+            parser.add_fault(line, String::new(), Cause::Syntax(error.message().to_string()));
         }
-        // What the parser makes of a broken text would only mislead.
-        let whole = reader.faults.is_empty();
-        let branches = if whole { reader.tree(table.get_ref()) } else { vec![] };
-        let faults = reader.faults;
-        Part { digest: digest(text), text: text.into(), branches, faults, name }
+        // The branches recovered from a text with syntax errors would give misleading faults.
+        let valid = parser.faults.is_empty();
+        let branches = if valid { parser.parse_branches(table.get_ref()) } else { vec![] };
+        let faults = parser.faults;
+        Part { digest: text_digest(text), text: text.into(), branches, faults, name }
     }
 }
 
-/// Offsets at which lines begin.
-fn lines(text: &str) -> Vec<usize> {
+/// Returns the byte offsets at which lines begin.
+fn line_starts(text: &str) -> Vec<usize> {
     let ends = text.bytes().enumerate().filter(|(_, byte)| *byte == b'\n');
     std::iter::once(0).chain(ends.map(|(at, _)| at + 1)).collect()
 }
 
-struct Reader {
+struct Parser {
     origin: Arc<str>,
-    lines: Vec<usize>,
+    line_starts: Vec<usize>,
     faults: Vec<Fault>,
 }
 
-impl Reader {
+impl Parser {
+    /// Returns the line, counted from 1, of a byte offset.
     fn line(&self, offset: usize) -> usize {
-        self.lines.partition_point(|start| *start <= offset)
+        self.line_starts.partition_point(|start| *start <= offset)
     }
 
-    fn place(&self, line: usize) -> Place {
-        Place { origin: self.origin.clone(), line }
+    fn location(&self, line: usize) -> Location {
+        Location { origin: self.origin.clone(), line }
     }
 
-    fn fault(&mut self, line: usize, path: String, cause: Cause) {
-        let place = self.place(line);
-        self.faults.push(Fault { place, path, cause });
+    fn add_fault(&mut self, line: usize, path: String, cause: Cause) {
+        let location = self.location(line);
+        self.faults.push(Fault { location, path, cause });
     }
 
-    fn tree(&mut self, table: &DeTable<'_>) -> Vec<Rc<Branch>> {
+    fn parse_branches(&mut self, table: &DeTable<'_>) -> Vec<Rc<Branch>> {
         let mut branches = vec![];
         for (key, value) in table {
             let line = self.line(key.span().start);
-            let Some(kind) = Kind::of(key.get_ref()) else {
-                let near = nearest(key.get_ref(), Kind::ALL.map(Kind::as_str));
-                self.fault(line, key.get_ref().to_string(), Cause::Kind(near));
+            let Some(kind) = Kind::from_word(key.get_ref()) else {
+                let near = nearest_match(key.get_ref(), Kind::ALL.map(Kind::as_str));
+                self.add_fault(line, key.get_ref().to_string(), Cause::UnknownKind(near));
                 continue;
             };
             if kind == Kind::Deployment {
-                branches.extend(self.branch(kind, "", line, value));
+                branches.extend(self.parse_branch(kind, "", line, value));
                 continue;
             }
-            let Some(named) = value.get_ref().as_table() else {
-                self.fault(line, kind.to_string(), Cause::Table(format!("{kind}.NAME")));
+            let Some(children) = value.get_ref().as_table() else {
+                self.add_fault(line, kind.to_string(), Cause::NotTable(format!("{kind}.NAME")));
                 continue;
             };
-            for (name, value) in named {
+            for (name, value) in children {
                 let line = self.line(name.span().start);
-                branches.extend(self.branch(kind, name.get_ref(), line, value));
+                branches.extend(self.parse_branch(kind, name.get_ref(), line, value));
             }
         }
         branches
     }
 
-    fn branch(
+    fn parse_branch(
         &mut self,
         kind: Kind,
         name: &str,
         line: usize,
         value: &Spanned<DeValue<'_>>,
     ) -> Option<Rc<Branch>> {
-        let mut branch = Branch { kind, name: name.into(), place: self.place(line), sets: vec![] };
+        let mut branch =
+            Branch { kind, name: name.into(), location: self.location(line), assignments: vec![] };
         let Some(leaves) = value.get_ref().as_table() else {
-            self.fault(line, branch.path(), Cause::Table(branch.path()));
+            self.add_fault(line, branch.path(), Cause::NotTable(branch.path()));
             return None;
         };
         for (key, value) in leaves {
             let line = self.line(key.span().start);
-            match leaf(kind, key.get_ref(), value.get_ref()) {
-                Ok((leaf, value)) => branch.sets.push(Set { leaf, value, line }),
+            match parse_leaf(kind, key.get_ref(), value.get_ref()) {
+                Ok((leaf, value)) => branch.assignments.push(Assignment { leaf, value, line }),
                 Err(cause) => {
-                    self.fault(line, format!("{}.{}", branch.path(), key.get_ref()), cause)
+                    self.add_fault(line, format!("{}.{}", branch.path(), key.get_ref()), cause)
                 }
             }
         }
@@ -197,23 +200,26 @@
     }
 }
 
-fn leaf(kind: Kind, name: &str, value: &DeValue<'_>) -> Result<(Leaf, Value), Cause> {
-    let Some(leaf) = Leaf::of(name) else {
-        let known = Leaf::ALL.iter().filter(|leaf| leaf.allowed(kind));
-        return Err(Cause::Leaf(nearest(name, known.map(|leaf| leaf.about().name))));
+fn parse_leaf(kind: Kind, name: &str, value: &DeValue<'_>) -> Result<(Leaf, Value), Cause> {
+    let Some(leaf) = Leaf::from_name(name) else {
+        let known = Leaf::ALL.iter().filter(|leaf| leaf.allowed_in(kind));
+        return Err(Cause::UnknownLeaf(nearest_match(name, known.map(|leaf| leaf.spec().name))));
     };
-    let about = leaf.about();
-    if !leaf.allowed(kind) {
-        let may: Vec<_> = about.scope.iter().map(|kind| kind.as_str()).collect();
-        return Err(Cause::Scope { kind, may: may.join(", ") });
-    }
-    let read = about.kind.read(value);
-    let read =
-        read.ok_or_else(|| Cause::Value { given: shown(value), allowed: about.kind.allowed() })?;
-    Ok((leaf, read))
+    let spec = leaf.spec();
+    if !leaf.allowed_in(kind) {
+        let may: Vec<_> = spec.scope.iter().map(|kind| kind.as_str()).collect();
+        return Err(Cause::WrongKind { kind, may: may.join(", ") });
+    }
+    let parsed = spec.value_type.parse(value);
+    let parsed = parsed.ok_or_else(|| Cause::InvalidValue {
+        given: describe_value(value),
+        allowed: spec.value_type.describe(),
+    })?;
+    Ok((leaf, parsed))
 }
 
-fn shown(value: &DeValue<'_>) -> String {
+/// Describes an invalid value for an error message.
+fn describe_value(value: &DeValue<'_>) -> String {
     match value {
         DeValue::String(text) => format!("{text:?}"),
         DeValue::Integer(number) => number.as_str().to_string(),
--- a/components/settings/src/value.rs
+++ b/components/settings/src/value.rs
@@ -1,4 +1,4 @@
-//! Values of leaves and their types.
+//! Defines the types of leaves, and parses and formats their values.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -12,31 +12,31 @@
 /// Type of a leaf.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Type {
-    /// A whole number from the first to the second.
+    /// A whole number between the two bounds, both included.
     Count(u64, u64),
     /// A duration.
     Time,
     /// A size in bytes.
     Size,
-    /// Bytes a second.
+    /// A rate in bytes per second.
     Rate,
     /// True or false.
     Flag,
     /// Any text.
     Text,
-    /// One of some words.
+    /// One of the listed words.
     Word(&'static [&'static str]),
     /// IP number and port.
     Address,
-    /// A path that starts with a slash.
+    /// A path prefix that starts with a slash.
     Path,
-    /// SHA-256 in hexadecimal.
+    /// A SHA-256 digest in hexadecimal.
     Digest,
     /// A list of texts.
     Texts,
-    /// Name of a branch.
+    /// Name of a branch of this kind.
     Ref(Kind),
-    /// Names of branches.
+    /// Names of branches of this kind.
     Refs(Kind),
 }
 
@@ -49,28 +49,28 @@
     Time(Duration),
     /// A size in bytes.
     Size(u64),
-    /// Bytes a second.
+    /// A rate in bytes per second.
     Rate(u64),
     /// True or false.
     Flag(bool),
-    /// A text of any type that is written as one.
+    /// A value of any type that a tree writes as a string and that has no variant of its own.
     Text(String),
     /// A list of texts.
     Texts(Vec<String>),
 }
 
 impl Type {
-    /// Takes a value of a tree; none if it isn't of this type.
-    pub(crate) fn read(self, value: &DeValue<'_>) -> Option<Value> {
+    /// Parses a value of a tree; returns `None` if it isn't of this type.
+    pub(crate) fn parse(self, value: &DeValue<'_>) -> Option<Value> {
         match self {
             Type::Count(low, high) => {
                 let number = value.as_integer()?;
                 let count = u64::from_str_radix(number.as_str(), number.radix()).ok()?;
                 (low..=high).contains(&count).then_some(Value::Count(count))
             }
-            Type::Time => unit::time(value.as_str()?).map(Value::Time),
-            Type::Size => unit::size(value.as_str()?).map(Value::Size),
-            Type::Rate => unit::rate(value.as_str()?).map(Value::Rate),
+            Type::Time => unit::parse_duration(value.as_str()?).map(Value::Time),
+            Type::Size => unit::parse_size(value.as_str()?).map(Value::Size),
+            Type::Rate => unit::parse_rate(value.as_str()?).map(Value::Rate),
             Type::Flag => value.as_bool().map(Value::Flag),
             Type::Texts | Type::Refs(_) => {
                 let texts = value.as_array()?.iter().map(|item| item.get_ref().as_str());
@@ -84,12 +84,13 @@
             | Type::Digest
             | Type::Ref(_) => {
                 let text = value.as_str()?;
-                self.takes(text).then(|| Value::Text(text.to_string()))
+                self.accepts(text).then(|| Value::Text(text.to_string()))
             }
         }
     }
 
-    fn takes(self, text: &str) -> bool {
+    /// Returns whether a string is valid for this type.
+    fn accepts(self, text: &str) -> bool {
         match self {
             Type::Word(words) => words.contains(&text),
             Type::Address => text.parse::<SocketAddr>().is_ok(),
@@ -99,16 +100,16 @@
         }
     }
 
-    /// Takes a default as the table of leaves writes it.
-    pub(crate) fn read_text(self, text: &str) -> Option<Value> {
+    /// Parses a default from the table of leaves.
+    pub(crate) fn parse_default(self, text: &str) -> Option<Value> {
         match self {
-            Type::Time | Type::Size | Type::Rate => self.read(&DeValue::String(text.into())),
-            _ => self.read(DeValue::parse(text).ok()?.get_ref()),
+            Type::Time | Type::Size | Type::Rate => self.parse(&DeValue::String(text.into())),
+            _ => self.parse(DeValue::parse(text).ok()?.get_ref()),
         }
     }
 
-    /// What may be written, for error messages and the page of settings.
-    pub fn allowed(self) -> String {
+    /// Describes the allowed values, for error messages and `docs/SETTINGS.md`.
+    pub fn describe(self) -> String {
         match self {
             Type::Count(low, high) if high == u64::from(u32::MAX) => {
                 format!("a whole number from {low}")
@@ -139,9 +140,9 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Value::Count(count) => write!(f, "{count}"),
-            Value::Time(time) => f.write_str(&unit::show_time(*time)),
-            Value::Size(bytes) => f.write_str(&unit::show_size(*bytes)),
-            Value::Rate(bytes) => write!(f, "{}/s", unit::show_size(*bytes)),
+            Value::Time(time) => f.write_str(&unit::format_duration(*time)),
+            Value::Size(bytes) => f.write_str(&unit::format_size(*bytes)),
+            Value::Rate(bytes) => write!(f, "{}/s", unit::format_size(*bytes)),
             Value::Flag(flag) => write!(f, "{flag}"),
             Value::Text(text) => f.write_str(text),
             Value::Texts(texts) => write!(f, "[{}]", texts.join(", ")),
--- a/components/settings/tests/garbage.rs
+++ b/components/settings/tests/garbage.rs
@@ -1,4 +1,4 @@
-//! The reader of the tree against whatever text comes.
+//! Property tests that parsing and resolving a tree handles any text.
 
 use proptest::prelude::*;
 use proptest::sample::Index;
@@ -33,12 +33,12 @@
     }
 }
 
-/// Works a text out as a whole tree. A refusal must tell of something.
-fn read(text: String) -> bool {
+/// Builds the settings from a text and returns whether it is valid. Faults must have a message.
+fn build(text: String) -> bool {
     match Effective::build(1, &[("tree".to_string(), text)], None) {
         Ok(_) => true,
         Err(faults) => {
-            assert!(!faults.to_string().is_empty(), "refused without a word");
+            assert!(!faults.to_string().is_empty(), "the text was refused without a message");
             false
         }
     }
@@ -46,27 +46,27 @@
 
 #[test]
 fn can_read_the_tree_as_it_is() {
-    assert!(read(TREE.to_string()));
+    assert!(build(TREE.to_string()));
 }
 
 proptest! {
     #![proptest_config(config())]
 
-    // Someone publishes what isn't a tree at all. Each router refuses it and says why.
+    // Guards against a crash when someone publishes a text that isn't a tree: it is refused with a reason.
     #[test]
     fn can_refuse_any_text(text in "\\PC{0,80}") {
-        read(text);
+        build(text);
     }
 
-    // An operator's hand slips: some characters of a good tree are replaced. It is refused with a
-    // word, or is still a good tree; no router ends over it.
+    // Guards against a crash on an operator's typing error: some characters of a valid tree are
+    // replaced. The tree is refused with a reason or is still valid.
     #[test]
-    fn can_read_a_tree_with_a_slip(at in any::<Index>(), slip in "[\\PC\n]{0,4}") {
+    fn can_read_a_tree_with_a_typing_error(at in any::<Index>(), typo in "[\\PC\n]{0,4}") {
         let at = at.index(TREE.len());
-        read(format!("{}{slip}{}", &TREE[..at], &TREE[(at + 2).min(TREE.len())..]));
+        build(format!("{}{typo}{}", &TREE[..at], &TREE[(at + 2).min(TREE.len())..]));
     }
 
-    // A value is of the wrong kind or far out of range.
+    // Guards against a crash on values of the wrong type or far out of range.
     #[test]
     fn can_read_a_tree_with_odd_values(
         number in any::<i64>(),
@@ -74,8 +74,8 @@
     ) {
         for leaf in ["first_token", "queue", "link_bytes", "grace", "weight", "cell_nodes"] {
             let value = format!("{leaf} = \"{number}{unit}\"\n{leaf}x = {number}");
-            read(TREE.replace("first_token = \"870ms\"", &value));
-            read(TREE.replace("first_token = \"870ms\"", &format!("{leaf} = {number}")));
+            build(TREE.replace("first_token = \"870ms\"", &value));
+            build(TREE.replace("first_token = \"870ms\"", &format!("{leaf} = {number}")));
         }
     }
 }
--- a/components/settings/tests/revisions.rs
+++ b/components/settings/tests/revisions.rs
@@ -1,17 +1,17 @@
-//! Revisions follow each other without going back, and share what they don't change.
+//! Tests that revisions never go back and that successive revisions share what doesn't change.
 
 use std::rc::Rc;
 
 use proptest::prelude::*;
 use settings::Effective;
-use settings::mark::{Mark, Shown, Verdict};
+use settings::watermark::{RevisionId, Verdict, Watermark};
 
 const STRUCTURE: &str = "[region.main]\n[domain.a]\nregion = \"main\"\n[tier.top]\nrank = 0\n\
     [class.one]\ntier = \"top\"\n[class.two]\ntier = \"top\"\n[server.s]\ndomain = \"a\"\n\
     address = \"10.0.0.1:80\"\nmodels = [\"small\"]\n";
 
-fn workspace(index: usize, weight: u32) -> String {
-    let digest = settings::show_digest(&settings::key_digest(&format!("key-{index}")));
+fn workspace_branch(index: usize, weight: u32) -> String {
+    let digest = settings::format_digest(&settings::key_digest(&format!("key-{index}")));
     format!("[workspace.w{index}]\nclass = \"one\"\nweight = {weight}\nkey_digest = \"{digest}\"\n")
 }
 
@@ -19,47 +19,47 @@
     let mut parts = vec![("structure".to_string(), STRUCTURE.to_string())];
     for (index, weight) in weights.iter().enumerate() {
         if let Some(weight) = weight {
-            parts.push((format!("w{index}"), workspace(index, *weight)));
+            parts.push((format!("w{index}"), workspace_branch(index, *weight)));
         }
     }
     parts
 }
 
 #[test]
-fn can_judge_what_is_shown() {
-    let shown = |revision, digest| Shown { revision, digest };
-    let mark = Mark { held: Some(shown(5, 1)), refused: Some(shown(7, 2)) };
+fn can_classify_an_offered_revision() {
+    let id = |revision, digest| RevisionId { revision, digest };
+    let watermark = Watermark { in_force: Some(id(5, 1)), refused: Some(id(7, 2)) };
     let table = [
-        (shown(4, 9), Verdict::Older),
-        (shown(5, 1), Verdict::Same),
-        (shown(5, 9), Verdict::Conflict),
-        (shown(6, 9), Verdict::Older),
-        (shown(7, 2), Verdict::Refused),
-        (shown(7, 9), Verdict::Conflict),
-        (shown(8, 1), Verdict::Newer),
+        (id(4, 9), Verdict::Older),
+        (id(5, 1), Verdict::Same),
+        (id(5, 9), Verdict::Conflict),
+        (id(6, 9), Verdict::Older),
+        (id(7, 2), Verdict::Refused),
+        (id(7, 9), Verdict::Conflict),
+        (id(8, 1), Verdict::Newer),
     ];
-    for (shown, verdict) in table {
-        assert_eq!(mark.judge(shown), verdict, "{shown:?}");
+    for (offered, verdict) in table {
+        assert_eq!(watermark.classify(offered), verdict, "{offered:?}");
     }
 }
 
 #[test]
-fn can_share_what_a_change_of_one_workspace_leaves() {
+fn can_share_what_a_change_of_one_workspace_keeps() {
     let first = Effective::build(1, &parts(&[Some(1), Some(1), Some(1)]), None).unwrap();
     let second = Effective::build(2, &parts(&[Some(1), Some(9), Some(1)]), Some(&first)).unwrap();
     assert!(Rc::ptr_eq(&first.tree, &second.tree));
-    let same = |(key, held)| Rc::ptr_eq(held, &second.workspaces[key]);
+    let same = |(key, workspace)| Rc::ptr_eq(workspace, &second.workspaces[key]);
     assert_eq!(first.workspaces.iter().filter(|pair| same(*pair)).count(), 2);
     assert!(first.classes.iter().all(|(key, class)| Rc::ptr_eq(class, &second.classes[key])));
 }
 
 #[test]
 fn errors_on_two_workspaces_with_one_key_across_parts() {
-    // A copied branch keeps the other's key in a part of its own. Callers of one would be served
-    // and charged as the other, so the whole revision is refused.
+    // Guards against a branch that was copied into another part with its key digest: callers of one
+    // workspace would be served and charged as the other, so the whole revision is refused.
     let first = Effective::build(1, &parts(&[Some(1)]), None).unwrap();
     let mut next = parts(&[Some(1)]);
-    next.push(("copy".to_string(), workspace(0, 1).replace("w0", "copy")));
+    next.push(("copy".to_string(), workspace_branch(0, 1).replace("w0", "copy")));
     let faults = Effective::build(2, &next, Some(&first)).unwrap_err();
     assert_eq!(
         faults.to_string(),
@@ -73,27 +73,28 @@
         ..ProptestConfig::default()
     })]
 
-    /// Whatever a revision follows, it comes to the same as when it is worked out from nothing.
+    /// Guards against a difference between a revision resolved from the previous one and the same revision
+    /// resolved from scratch.
     #[test]
     fn can_reach_the_same_by_steps(
         steps in prop::collection::vec(prop::collection::vec(prop::option::of(1u32..4), 4), 1..6)
     ) {
-        let mut last: Option<Effective> = None;
+        let mut previous: Option<Effective> = None;
         for (number, weights) in steps.iter().enumerate() {
             let parts = parts(weights);
             let revision = number as u64 + 1;
-            let whole = Effective::build(revision, &parts, None).unwrap();
-            let stepped = Effective::build(revision, &parts, last.as_ref()).unwrap();
+            let full = Effective::build(revision, &parts, None).unwrap();
+            let incremental = Effective::build(revision, &parts, previous.as_ref()).unwrap();
             let weights = |effective: &Effective| {
                 let all = effective.workspaces.values();
                 let mut all: Vec<_> = all.map(|w| (w.name.clone(), w.weight)).collect();
                 all.sort();
                 all
             };
-            prop_assert_eq!(weights(&whole), weights(&stepped));
-            prop_assert_eq!(whole.digest, stepped.digest);
-            prop_assert_eq!(stepped.callers.len(), stepped.workspaces.len());
-            last = Some(stepped);
+            prop_assert_eq!(weights(&full), weights(&incremental));
+            prop_assert_eq!(full.digest, incremental.digest);
+            prop_assert_eq!(incremental.workspaces_by_key.len(), incremental.workspaces.len());
+            previous = Some(incremental);
         }
     }
 }
--- a/examples/apply.rs
+++ b/examples/apply.rs
@@ -12,7 +12,7 @@
 const RUNS: usize = 21;
 
 fn workspace(index: usize, weight: usize) -> String {
-    let digest = settings::show_digest(&settings::key_digest(&format!("key-{index}")));
+    let digest = settings::format_digest(&settings::key_digest(&format!("key-{index}")));
     format!(
         "[workspace.w{index}]\nclass = \"c{}\"\nweight = {weight}\nkey_digest = \"{digest}\"\n",
         index % 7
--- a/examples/figures/stage.rs
+++ b/examples/figures/stage.rs
@@ -7,7 +7,7 @@
 
 use fakes::{Engine, Pace, Platform};
 use router::Router;
-use settings::node::{Log, Node};
+use settings::node::{LogFormat, Node};
 
 use crate::machine;
 
@@ -96,6 +96,6 @@
         list: platform,
         seeds: vec![],
         secret: "secret".to_string(),
-        log: Log::Text,
+        log: LogFormat::Text,
     }
 }
--- a/examples/idle.rs
+++ b/examples/idle.rs
@@ -9,7 +9,7 @@
 use configuration::wire::{Role, Vm};
 use fakes::{Engine, Pace, Platform};
 use router::Router;
-use settings::node::{Log, Node};
+use settings::node::{LogFormat, Node};
 
 const ROUTERS: [usize; 3] = [1, 4, 7];
 const ENGINES: usize = 12;
@@ -87,7 +87,7 @@
         list: platform.address(),
         seeds: vec![],
         secret: "idle".to_string(),
-        log: Log::Text,
+        log: LogFormat::Text,
     }
 }
 
--- a/examples/spread.rs
+++ b/examples/spread.rs
@@ -8,7 +8,7 @@
 use configuration::wire::{Role, Vm};
 use fakes::Platform;
 use router::Router;
-use settings::node::{Log, Node};
+use settings::node::{LogFormat, Node};
 use tokio::time::Instant;
 
 /// Changes of one burst, one a second.
@@ -28,7 +28,7 @@
         list: platform.address(),
         seeds: vec![],
         secret: "example".to_string(),
-        log: Log::Text,
+        log: LogFormat::Text,
     }
 }
 
--- a/src/bin/godwitleverd.rs
+++ b/src/bin/godwitleverd.rs
@@ -10,7 +10,7 @@
 use platform::Platform;
 use router::Router;
 use serde::Deserialize;
-use settings::node::{Log, Node};
+use settings::node::{LogFormat, Node};
 use tokio::signal::unix::{Signal, SignalKind, signal};
 
 /// A settings file that changes without a signal is noticed after this.
@@ -111,8 +111,8 @@
     async fn own(text: &str, origin: &str) -> anyhow::Result<Self> {
         let node = Node::parse(text, origin)?;
         let form = match node.log {
-            Log::Text => telemetry::Format::Text,
-            Log::Json => telemetry::Format::Json,
+            LogFormat::Text => telemetry::Format::Text,
+            LogFormat::Json => telemetry::Format::Json,
         };
         telemetry::start_logging(form, log::LevelFilter::Info)?;
         let router = Router::start(node).await?;
--- a/src/cmd/check.rs
+++ b/src/cmd/check.rs
@@ -12,8 +12,8 @@
     let mut table = Table::new(&["kind", "place", "path", "message"]);
     let mut add = |kind: &str, faults: &[Fault]| {
         for fault in faults {
-            let place = fault.place.to_string();
-            table.row([kind.to_string(), place, fault.path.clone(), fault.cause.to_string()]);
+            let location = fault.location.to_string();
+            table.row([kind.to_string(), location, fault.path.clone(), fault.cause.to_string()]);
         }
     };
     match Effective::build(0, &parts, None) {
--- a/src/cmd/demo/site.rs
+++ b/src/cmd/demo/site.rs
@@ -6,7 +6,7 @@
 use configuration::wire::{Role, Vm};
 use fakes::{Engine, Pace, Plain, Platform};
 use router::Router;
-use settings::node::{Log, Node};
+use settings::node::{LogFormat, Node};
 
 use super::call::Record;
 use super::mix::{Kind, TERMS};
@@ -116,7 +116,7 @@
             list: self.platform.address(),
             seeds: vec![],
             secret: "demo".to_string(),
-            log: Log::Text,
+            log: LogFormat::Text,
         }
     }
 }
--- a/src/cmd/diff.rs
+++ b/src/cmd/diff.rs
@@ -14,10 +14,10 @@
             found.path,
             found.old.unwrap_or_else(blank),
             found.new.unwrap_or_else(blank),
-            found.place.map_or_else(blank, |place| place.to_string()),
+            found.location.map_or_else(blank, |location| location.to_string()),
         ]);
     }
-    for loss in old.losses(&new) {
+    for loss in old.lost_service(&new) {
         table.row(["warning".to_string(), loss, blank(), blank(), blank()]);
     }
     table.show(format)
--- a/src/cmd/digest.rs
+++ b/src/cmd/digest.rs
@@ -9,6 +9,6 @@
     stdin().read_line(&mut key).context("can't read a key from standard input")?;
     let key = key.trim_end_matches(['\n', '\r']);
     ensure!(!key.is_empty(), "no key came; write it to standard input");
-    println!("{}", settings::show_digest(&settings::key_digest(key)));
+    println!("{}", settings::format_digest(&settings::key_digest(key)));
     Ok(())
 }
--- a/src/cmd/explain.rs
+++ b/src/cmd/explain.rs
@@ -1,7 +1,7 @@
 use std::path::Path;
 
 use anyhow::{Context, ensure};
-use settings::{Effective, Kind, Row, Said};
+use settings::{Definition, Effective, Kind, Row};
 
 use super::trees;
 use crate::messages::{Format, Table};
@@ -17,7 +17,7 @@
     let rows = effective.explain(branch);
     let mut table = Table::new(HEAD);
     let mut any = false;
-    for row in rows.iter().filter(|row| leaf.is_none_or(|leaf| row.leaf.about().name == leaf)) {
+    for row in rows.iter().filter(|row| leaf.is_none_or(|leaf| row.leaf.spec().name == leaf)) {
         table.row(cells(&branch.path(), row));
         any = true;
     }
@@ -30,7 +30,7 @@
     let effective = trees::load(tree)?;
     let kinds = match kind {
         None => Kind::ALL.to_vec(),
-        Some(word) => vec![Kind::of(word).with_context(|| {
+        Some(word) => vec![Kind::from_word(word).with_context(|| {
             let words = Kind::ALL.map(Kind::as_str).join(", ");
             format!("no kind of branch is named `{word}`; kinds are {words}")
         })?],
@@ -59,7 +59,7 @@
 
 /// Tells that nothing stands at a path, and what does.
 fn nothing(effective: &Effective, path: &str) -> String {
-    let kind = path.split('.').next().and_then(Kind::of);
+    let kind = path.split('.').next().and_then(Kind::from_word);
     let known = kind.into_iter().flat_map(|kind| effective.branches(kind));
     let known: Vec<_> = known.map(|branch| branch.path()).take(SHOWN).collect();
     let hint = match known.is_empty() {
@@ -70,18 +70,19 @@
 }
 
 fn cells(branch: &str, row: &Row) -> [String; 4] {
-    let said = |said: &Said| format!("{} ({})", said.branch, said.place);
-    let set = match (&row.set, &row.value) {
-        (Some(set), _) => said(set),
+    let origin =
+        |definition: &Definition| format!("{} ({})", definition.branch, definition.location);
+    let set = match (&row.set_by, &row.value) {
+        (Some(set), _) => origin(set),
         (None, Some(_)) => "default".to_string(),
         (None, None) => "nobody".to_string(),
     };
-    let overrode: Vec<_> =
-        row.overrode.iter().map(|over| format!("{} of {}", over.value, said(over))).collect();
+    let overridden: Vec<_> =
+        row.overrides.iter().map(|over| format!("{} of {}", over.value, origin(over))).collect();
     [
-        format!("{branch}.{}", row.leaf.about().name),
+        format!("{branch}.{}", row.leaf.spec().name),
         row.value.clone().unwrap_or_default(),
         set,
-        overrode.join("; "),
+        overridden.join("; "),
     ]
 }
--- a/tests/commands.rs
+++ b/tests/commands.rs
@@ -68,7 +68,7 @@
 
 #[test]
 fn can_digest_a_key_from_standard_input() {
-    let digest = settings::show_digest(&settings::key_digest("choir-key"));
+    let digest = settings::format_digest(&settings::key_digest("choir-key"));
     assert_eq!(run(&["digest"], "choir-key\n"), format!("exit 0\n{digest}\n"));
     assert!(run(&["digest"], "").contains("exit 1"));
 }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -7,7 +7,7 @@
 use configuration::wire::{Role, Vm};
 use fakes::{Engine, Pace, Plain, Platform};
 use router::Router;
-use settings::node::{Log, Node};
+use settings::node::{LogFormat, Node};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
@@ -117,7 +117,7 @@
         list: platform.address(),
         seeds: vec![],
         secret: "secret".to_string(),
-        log: Log::Text,
+        log: LogFormat::Text,
     }
 }
 
