--- a/src/bin/godwitleverd.rs
+++ b/src/bin/godwitleverd.rs
@@ -1,4 +1,4 @@
-//! The router as a process.
+//! Runs the router as a daemon that reloads its settings file and drains on a signal.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -13,8 +13,8 @@
 use settings::node::{LogFormat, Node};
 use tokio::signal::unix::{Signal, SignalKind, signal};
 
-/// A settings file that changes without a signal is noticed after this.
-const LOOK: Duration = Duration::from_secs(5);
+/// Time between two checks of the settings file for changes that no signal announced.
+const RELOAD_INTERVAL: Duration = Duration::from_secs(5);
 
 /// Routes language-model traffic with service levels and priorities.
 #[derive(Parser)]
@@ -25,10 +25,10 @@
     settings: PathBuf,
 }
 
-/// Which site the node's settings are for.
+/// The part of the settings file that selects how the rest is parsed.
 #[derive(Deserialize)]
-struct Kind {
-    /// Name of an adapter; the router's own interface without one.
+struct AdapterChoice {
+    /// Name of an adapter; `None` selects the router's own interface.
     adapter: Option<String>,
 }
 
@@ -43,84 +43,88 @@
 }
 
 async fn run(cli: &Cli) -> anyhow::Result<ExitCode> {
-    let text = read(cli)?;
-    let kind: Kind = toml::from_str(&text).with_context(|| origin(cli))?;
-    let node = match kind.adapter.as_deref() {
-        None => Running::own(&text, &origin(cli)).await?,
-        Some("platform") => Running::adapted(&text, &origin(cli)).await?,
+    let text = read_settings(cli)?;
+    let choice: AdapterChoice = toml::from_str(&text).with_context(|| origin(cli))?;
+    let node = match choice.adapter.as_deref() {
+        None => Running::start_router(&text, &origin(cli)).await?,
+        Some("platform") => Running::start_proxy(&text, &origin(cli)).await?,
         Some(other) => anyhow::bail!(
             "{} names the adapter `{other}`; leave it out, or set it to `platform`",
             origin(cli)
         ),
     };
     let mut signals = Signals::new()?;
-    let mut held = text;
+    let mut current = text;
     loop {
-        match tokio::time::timeout(LOOK, signals.next()).await {
-            Ok(Asked::Stop) => break,
-            Ok(Asked::Reload) | Err(_) => reload(cli, &node, &mut held),
+        match tokio::time::timeout(RELOAD_INTERVAL, signals.next()).await {
+            Ok(Request::Stop) => break,
+            Ok(Request::Reload) | Err(_) => reload_if_changed(cli, &node, &mut current),
         }
     }
-    log::info!(held = node.held(); "draining");
-    let cut = tokio::select! {
-        cut = node.drain() => cut,
-        () = signals.stop() => node.cut(),
+    log::info!(held = node.open_requests(); "draining");
+    let aborted = tokio::select! {
+        aborted = node.drain() => aborted,
+        () = signals.next_stop() => node.abort(),
     };
-    log::info!(cut = cut; "stopped");
+    log::info!(cut = aborted; "stopped");
     telemetry::flush_log();
-    Ok(if cut == 0 { ExitCode::SUCCESS } else { ExitCode::FAILURE })
+    Ok(if aborted == 0 { ExitCode::SUCCESS } else { ExitCode::FAILURE })
 }
 
+/// Returns the path of the settings file, for messages.
 fn origin(cli: &Cli) -> String {
     cli.settings.display().to_string()
 }
 
-fn read(cli: &Cli) -> anyhow::Result<String> {
+fn read_settings(cli: &Cli) -> anyhow::Result<String> {
     let path = &cli.settings;
     std::fs::read_to_string(path).with_context(|| {
         format!("can't read {}; check the path and that it may be read", path.display())
     })
 }
 
-/// Reads the settings again; what can't be used leaves the last good in force.
-fn reload(cli: &Cli, node: &Running, held: &mut String) {
-    let text = match read(cli) {
+/// Applies the settings file if it changed. If it can't be read or is invalid, the last valid settings
+/// stay in force.
+fn reload_if_changed(cli: &Cli, node: &Running, current: &mut String) {
+    let text = match read_settings(cli) {
         Ok(text) => text,
         Err(cause) => {
-            log::warn!(cause:% = format!("{cause:#}"); "settings not read again");
+            log::warn!(cause:% = format!("{cause:#}"); "can't read the settings file; the settings in force stay");
             return;
         }
     };
-    if text == *held {
+    if text == *current {
         return;
     }
     match node.reload(&text, &origin(cli)) {
         Ok(()) => log::info!("settings read again"),
         Err(cause) => log::error!(cause:% = format!("{cause:#}"); "settings refused"),
     }
-    *held = text;
+    *current = text;
 }
 
-/// A running node: at the router's own interface, or at a site that an adapter speaks for.
+/// A running node, with the router's own interface or with an adapter for another platform's protocols.
 enum Running {
-    Own(Router),
-    Adapted(Proxy<Platform>),
+    Router(Router),
+    Proxy(Proxy<Platform>),
 }
 
 impl Running {
-    async fn own(text: &str, origin: &str) -> anyhow::Result<Self> {
+    /// Starts a node with the router's own interface.
+    async fn start_router(text: &str, origin: &str) -> anyhow::Result<Self> {
         let node = Node::parse(text, origin)?;
-        let form = match node.log {
+        let format = match node.log {
             LogFormat::Text => telemetry::Format::Text,
             LogFormat::Json => telemetry::Format::Json,
         };
-        telemetry::start_logging(form, log::LevelFilter::Info)?;
+        telemetry::start_logging(format, log::LevelFilter::Info)?;
         let router = Router::start(node).await?;
         log::info!(callers:% = router.callers(), operators:% = router.operators(); "listening");
-        Ok(Running::Own(router))
+        Ok(Running::Router(router))
     }
 
-    async fn adapted(text: &str, origin: &str) -> anyhow::Result<Self> {
+    /// Starts a node with the platform's adapter.
+    async fn start_proxy(text: &str, origin: &str) -> anyhow::Result<Self> {
         let node = forward::Node::parse(text, origin)?;
         telemetry::start_logging(telemetry::Format::Json, log::LevelFilter::Info)?;
         let protocols = platform::protocols(node.store);
@@ -130,51 +134,53 @@
         log::info!(
             node = name.as_str(), callers:% = callers, operators:% = operators; "listening"
         );
-        Ok(Running::Adapted(proxy))
+        Ok(Running::Proxy(proxy))
     }
 
     fn reload(&self, text: &str, origin: &str) -> anyhow::Result<()> {
         match self {
-            Running::Own(_) => {
+            Running::Router(_) => {
                 Node::parse(text, origin)?;
                 log::warn!("the node's own settings changed; restart the node to use them");
             }
-            Running::Adapted(proxy) => proxy.reload(forward::Node::parse(text, origin)?),
+            Running::Proxy(proxy) => proxy.reload(forward::Node::parse(text, origin)?),
         }
         Ok(())
     }
 
-    fn held(&self) -> usize {
+    /// Returns the number of requests that the node hasn't answered completely.
+    fn open_requests(&self) -> usize {
         match self {
-            Running::Own(router) => router.held(),
-            Running::Adapted(proxy) => proxy.open_requests(),
+            Running::Router(router) => router.held(),
+            Running::Proxy(proxy) => proxy.open_requests(),
         }
     }
 
-    /// Goes down; returns how many requests were cut.
+    /// Stops the node after its open requests have ended or the grace period is over; returns how many
+    /// requests were aborted.
     async fn drain(&self) -> usize {
         match self {
-            Running::Own(router) => router.drain().await.len(),
-            Running::Adapted(proxy) => proxy.drain().await.len(),
+            Running::Router(router) => router.drain().await.len(),
+            Running::Proxy(proxy) => proxy.drain().await.len(),
         }
     }
 
-    /// Ends at once; returns how many requests were cut.
-    fn cut(&self) -> usize {
+    /// Stops the node at once; returns how many requests were aborted.
+    fn abort(&self) -> usize {
         match self {
-            Running::Own(router) => router.cut().len(),
-            Running::Adapted(proxy) => proxy.abort().len(),
+            Running::Router(router) => router.cut().len(),
+            Running::Proxy(proxy) => proxy.abort().len(),
         }
     }
 }
 
-/// What a signal asks for.
-enum Asked {
+/// Action that a signal requests.
+enum Request {
     Stop,
     Reload,
 }
 
-/// Signals that the process acts on.
+/// Signals that the process handles.
 struct Signals {
     terminate: Signal,
     interrupt: Signal,
@@ -183,25 +189,26 @@
 
 impl Signals {
     fn new() -> anyhow::Result<Self> {
-        let open = |kind| signal(kind).context("can't wait for signals");
+        let listen = |kind| signal(kind).context("can't wait for signals");
         let (terminate, interrupt) = (SignalKind::terminate(), SignalKind::interrupt());
         Ok(Signals {
-            terminate: open(terminate)?,
-            interrupt: open(interrupt)?,
-            reload: open(SignalKind::hangup())?,
+            terminate: listen(terminate)?,
+            interrupt: listen(interrupt)?,
+            reload: listen(SignalKind::hangup())?,
         })
     }
 
-    async fn next(&mut self) -> Asked {
+    /// Waits for the next signal.
+    async fn next(&mut self) -> Request {
         tokio::select! {
-            _ = self.terminate.recv() => Asked::Stop,
-            _ = self.interrupt.recv() => Asked::Stop,
-            _ = self.reload.recv() => Asked::Reload,
+            _ = self.terminate.recv() => Request::Stop,
+            _ = self.interrupt.recv() => Request::Stop,
+            _ = self.reload.recv() => Request::Reload,
         }
     }
 
-    /// Asked to stop.
-    async fn stop(&mut self) {
+    /// Waits for the next signal that requests a stop.
+    async fn next_stop(&mut self) {
         tokio::select! {
             _ = self.terminate.recv() => {}
             _ = self.interrupt.recv() => {}
--- a/src/cli.rs
+++ b/src/cli.rs
@@ -1,3 +1,7 @@
+//! Defines the arguments of the operator's command.
+//!
+//! The doc comments of the types below are its help texts.
+
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
--- a/src/cmd/check.rs
+++ b/src/cmd/check.rs
@@ -1,3 +1,5 @@
+//! Implements `check`.
+
 use std::path::PathBuf;
 
 use anyhow::bail;
@@ -6,20 +8,25 @@
 use super::trees;
 use crate::messages::{Format, Table};
 
-/// Checks that the files make a whole tree; shows all faults and warnings.
+/// Checks that the files form a valid tree, and prints all faults and warnings. Fails if there are faults.
 pub fn check(paths: &[PathBuf], format: Format) -> anyhow::Result<()> {
-    let parts = trees::parts(paths)?;
+    let parts = trees::read_parts(paths)?;
     let mut table = Table::new(&["kind", "place", "path", "message"]);
-    let mut add = |kind: &str, faults: &[Fault]| {
+    let mut add_rows = |kind: &str, faults: &[Fault]| {
         for fault in faults {
             let location = fault.location.to_string();
-            table.row([kind.to_string(), location, fault.path.clone(), fault.cause.to_string()]);
+            table.add_row([
+                kind.to_string(),
+                location,
+                fault.path.clone(),
+                fault.cause.to_string(),
+            ]);
         }
     };
     match Effective::build(0, &parts, None) {
         Ok(effective) => {
-            add("warning", &effective.warnings);
-            table.show(format)?;
+            add_rows("warning", &effective.warnings);
+            table.print(format)?;
             if format == Format::Text {
                 println!(
                     "good: {} classes, {} workspaces, {} backend servers",
@@ -31,8 +38,8 @@
             Ok(())
         }
         Err(faults) => {
-            add("error", &faults.0);
-            table.show(format)?;
+            add_rows("error", &faults.0);
+            table.print(format)?;
             bail!("{} faults; mend them and check again", faults.0.len())
         }
     }
--- a/src/cmd/demo.rs
+++ b/src/cmd/demo.rs
@@ -1,25 +1,25 @@
-//! The whole system on stand-ins in this process, under a mixed load.
+//! Implements `demo`: runs routers with simulated backend servers in this process under a mixed load.
 
 mod call;
+mod cluster;
 mod load;
 mod mix;
-mod site;
 mod table;
 mod verdict;
 
 use anyhow::{Context, ensure};
 
-use site::Site;
+use cluster::Cluster;
 
-/// Runs the whole path on stand-ins for so many seconds. Fails unless every caller got one whole
-/// answer, or was refused and nothing of its request ran.
+/// Runs the demo for a number of seconds. Fails unless every caller got one complete answer, or was
+/// refused and its request never ran.
 pub fn demo(seconds: u64, keep: bool) -> anyhow::Result<()> {
     actix_rt::System::new().block_on(async {
-        let site = Site::start().await?;
-        println!("{}", site.describe());
-        run(&site, seconds).await?;
+        let cluster = Cluster::start().await?;
+        println!("{}", cluster.describe());
+        run_and_verify(&cluster, seconds).await?;
         if keep {
-            println!("{}", site.curl());
+            println!("{}", cluster.curl_command());
             println!("ends with an interrupt (control-C)");
             tokio::signal::ctrl_c().await.context("can't wait for an interrupt")?;
         }
@@ -27,10 +27,12 @@
     })
 }
 
-async fn run(site: &Site, seconds: u64) -> anyhow::Result<()> {
-    let records = load::run(site, seconds).await;
-    println!("{}", table::render(&records, site));
-    let faults: Vec<_> = records.iter().filter_map(|r| verdict::fault(r, site.runs(r))).collect();
+/// Sends the load, prints the results, and fails if a caller was told something untrue.
+async fn run_and_verify(cluster: &Cluster, seconds: u64) -> anyhow::Result<()> {
+    let records = load::run(cluster, seconds).await;
+    println!("{}", table::render(&records, cluster));
+    let faults: Vec<_> =
+        records.iter().filter_map(|r| verdict::find_fault(r, cluster.run_count(r))).collect();
     for fault in &faults {
         eprintln!("{fault}");
     }
--- a/src/cmd/demo/call.rs
+++ b/src/cmd/demo/call.rs
@@ -1,4 +1,4 @@
-//! One call of the demo, as its caller sees it.
+//! Sends one call of the demo and records what its caller received.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -8,45 +8,53 @@
 
 use super::mix::{Class, Kind};
 
-const LARGEST: usize = 1 << 20;
+/// Largest answer that a caller accepts; a longer one counts as incorrect.
+const MAX_ANSWER_BYTES: usize = 1 << 20;
 
-/// What a caller got.
+/// Outcome of a call, as its caller sees it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum End {
-    /// One whole answer to its own request.
-    Whole,
-    /// Was told that nothing ran.
+pub enum Outcome {
+    /// One complete answer to its own request.
+    Complete,
+    /// The caller was told that the request wasn't run.
     Refused,
-    /// Was told that it may have run.
+    /// The caller was told that the request may have run.
     Unknown,
-    /// Anything else.
-    Wrong(String),
+    /// Anything else, with the reason.
+    Incorrect(String),
 }
 
-/// A call that ended.
+/// A call that ended, with its measurements.
 #[derive(Clone, Debug)]
 pub struct Record {
     pub class: Class,
     pub id: String,
-    pub end: End,
-    /// Time to the first token of a stream, or to the whole answer.
-    pub first: Option<Duration>,
+    pub outcome: Outcome,
+    /// Time to the first bytes of the answer.
+    pub first_token: Option<Duration>,
+    /// Times between two successive chunks of the answer.
     pub intervals: Vec<Duration>,
-    pub took: Duration,
-    /// Tokens of the answer that came.
+    /// Time to the end of the answer.
+    pub elapsed: Duration,
+    /// Tokens of a complete answer; 0 for any other outcome.
     pub tokens: u32,
 }
 
-/// Sends a call and takes its answer to the end.
-pub async fn call(client: awc::Client, router: SocketAddr, class: Class, tokens: u32) -> Record {
-    let begun = Instant::now();
+/// Sends a call and reads its answer to the end.
+pub async fn send_call(
+    client: awc::Client,
+    router: SocketAddr,
+    class: Class,
+    tokens: u32,
+) -> Record {
+    let started = Instant::now();
     let mut record = Record {
         class,
         id: String::new(),
-        end: End::Refused,
-        first: None,
+        outcome: Outcome::Refused,
+        first_token: None,
         intervals: vec![],
-        took: Duration::ZERO,
+        elapsed: Duration::ZERO,
         tokens: 0,
     };
     let streamed = class.kind == Kind::Streamed;
@@ -58,74 +66,77 @@
     let mut response = match request.send_json(&body).await {
         Ok(response) => response,
         Err(cause) => {
-            record.end = End::Wrong(format!("no answer: {cause}"));
+            record.outcome = Outcome::Incorrect(format!("no answer: {cause}"));
             return record;
         }
     };
     let header = |name| response.headers().get(name).and_then(|value| value.to_str().ok());
     record.id = header("x-request-id").unwrap_or_default().to_string();
-    let outcome = header("x-outcome").unwrap_or_default().to_string();
-    let mut came = vec![];
+    let header_outcome = header("x-outcome").unwrap_or_default().to_string();
+    let mut received = vec![];
     let mut last = None;
     while let Some(bytes) = response.next().await {
         let Ok(bytes) = bytes else { break };
         let now = Instant::now();
         match last.replace(now) {
-            None => record.first = Some(now - begun),
+            None => record.first_token = Some(now - started),
             Some(last) => record.intervals.push(now - last),
         }
-        came.extend_from_slice(&bytes);
-        if came.len() > LARGEST {
+        received.extend_from_slice(&bytes);
+        if received.len() > MAX_ANSWER_BYTES {
             break;
         }
     }
-    record.took = begun.elapsed();
-    record.end = end(&record, &outcome, &came, tokens);
-    if record.end == End::Whole && class.kind != Kind::Charge {
+    record.elapsed = started.elapsed();
+    record.outcome = check_outcome(&record, &header_outcome, &received, tokens);
+    if record.outcome == Outcome::Complete && class.kind != Kind::Charge {
         record.tokens = tokens;
     }
     record
 }
 
-fn end(record: &Record, outcome: &str, came: &[u8], tokens: u32) -> End {
-    match (outcome, record.class.kind) {
-        ("not-run", _) => End::Refused,
-        ("unknown", _) => End::Unknown,
-        ("complete", Kind::Charge) if came == br#"{"booked":true}"# => End::Whole,
-        ("complete", Kind::Whole) => match answer(came) {
-            Some((id, text)) => judge(record, &id, &text, tokens),
-            None => End::Wrong("no JSON came".to_string()),
+/// Derives the outcome from the `x-outcome` header and the received bytes.
+fn check_outcome(record: &Record, header_outcome: &str, received: &[u8], tokens: u32) -> Outcome {
+    match (header_outcome, record.class.kind) {
+        ("not-run", _) => Outcome::Refused,
+        ("unknown", _) => Outcome::Unknown,
+        ("complete", Kind::Charge) if received == br#"{"booked":true}"# => Outcome::Complete,
+        ("complete", Kind::Complete) => match parse_answer(received) {
+            Some((id, text)) => check_text(record, &id, &text, tokens),
+            None => Outcome::Incorrect("no JSON came".to_string()),
         },
-        ("streaming", Kind::Streamed) => match stream(came) {
-            Some((id, text)) => judge(record, &id, &text, tokens),
-            None => End::Wrong("the stream broke off".to_string()),
+        ("streaming", Kind::Streamed) => match parse_stream(received) {
+            Some((id, text)) => check_text(record, &id, &text, tokens),
+            None => Outcome::Incorrect("the stream broke off".to_string()),
         },
-        _ => End::Wrong(format!("outcome {outcome:?} with {} bytes", came.len())),
+        _ => {
+            Outcome::Incorrect(format!("outcome {header_outcome:?} with {} bytes", received.len()))
+        }
     }
 }
 
-/// Whether the text is all of the answer to the record's own request.
-fn judge(record: &Record, id: &str, text: &str, tokens: u32) -> End {
+/// Checks that the text is the complete answer to the record's own request.
+fn check_text(record: &Record, id: &str, text: &str, tokens: u32) -> Outcome {
     let expected: Vec<_> = (0..tokens).map(|index| format!("w{index}")).collect();
     if id != record.id {
-        End::Wrong(format!("the answer is to request {id}"))
+        Outcome::Incorrect(format!("the answer is to request {id}"))
     } else if text.trim_end() != expected.join(" ") {
-        End::Wrong("the answer isn't whole".to_string())
+        Outcome::Incorrect("the answer isn't whole".to_string())
     } else {
-        End::Whole
+        Outcome::Complete
     }
 }
 
-/// Id and text of a whole answer.
-fn answer(came: &[u8]) -> Option<(String, String)> {
-    let json: serde_json::Value = serde_json::from_slice(came).ok()?;
+/// Returns the request id and the text of an answer that isn't a stream.
+fn parse_answer(received: &[u8]) -> Option<(String, String)> {
+    let json: serde_json::Value = serde_json::from_slice(received).ok()?;
     let text = json["choices"][0]["message"]["content"].as_str()?;
     Some((json["id"].as_str()?.to_string(), text.to_string()))
 }
 
-/// Id and text of a stream that came to its end mark.
-fn stream(came: &[u8]) -> Option<(String, String)> {
-    let all = std::str::from_utf8(came).ok()?;
+/// Returns the request id and the text of a stream; `None` if its end mark is missing.
+fn parse_stream(received: &[u8]) -> Option<(String, String)> {
+    let all = std::str::from_utf8(received).ok()?;
     let (mut id, mut text) = (String::new(), String::new());
     for event in all.strip_suffix("data: [DONE]\n\n")?.split("\n\n").filter(|e| !e.is_empty()) {
         let json: serde_json::Value = serde_json::from_str(event.strip_prefix("data: ")?).ok()?;
--- a/src/cmd/demo/mix.rs
+++ b/src/cmd/demo/mix.rs
@@ -1,18 +1,18 @@
-//! What callers of the demo send.
+//! Defines the classes of the demo, and draws calls from them at random.
 
 use std::time::Duration;
 
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
-/// How a class's calls look.
+/// Kind of a class's calls.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Kind {
-    /// A completion that comes whole.
-    Whole,
-    /// A completion that comes as a stream.
+    /// A completion that is answered in one response.
+    Complete,
+    /// A completion that is answered as a stream.
     Streamed,
-    /// A call of a plain service that may run only once.
+    /// A call of a plain service that must not run twice.
     Charge,
 }
 
@@ -21,26 +21,26 @@
 pub struct Class {
     pub name: &'static str,
     pub kind: Kind,
-    /// Part of all calls, in percent.
-    pub part: u32,
-    /// Of no use to its caller when finished later; the `deadline` of its tier in [`TERMS`].
-    pub useful: Duration,
+    /// Share of all calls, in percent.
+    pub percent: u32,
+    /// Time after which the answer is useless to its caller; the `deadline` of its tier in [`CLASS_SETTINGS`].
+    pub deadline: Duration,
 }
 
-const TOP: Duration = Duration::from_secs(5);
-const BULK: Duration = Duration::from_secs(15);
+const TOP_DEADLINE: Duration = Duration::from_secs(5);
+const BULK_DEADLINE: Duration = Duration::from_secs(15);
 
-/// Every kind of call, in a high tier and a low one.
+/// The classes, which cover every kind of call in a high tier and completions in a low one.
 pub const CLASSES: [Class; 5] = [
-    Class { name: "booking", kind: Kind::Whole, part: 20, useful: TOP },
-    Class { name: "lookup", kind: Kind::Streamed, part: 20, useful: TOP },
-    Class { name: "charge", kind: Kind::Charge, part: 10, useful: TOP },
-    Class { name: "draft", kind: Kind::Whole, part: 25, useful: BULK },
-    Class { name: "summary", kind: Kind::Streamed, part: 25, useful: BULK },
+    Class { name: "booking", kind: Kind::Complete, percent: 20, deadline: TOP_DEADLINE },
+    Class { name: "lookup", kind: Kind::Streamed, percent: 20, deadline: TOP_DEADLINE },
+    Class { name: "charge", kind: Kind::Charge, percent: 10, deadline: TOP_DEADLINE },
+    Class { name: "draft", kind: Kind::Complete, percent: 25, deadline: BULK_DEADLINE },
+    Class { name: "summary", kind: Kind::Streamed, percent: 25, deadline: BULK_DEADLINE },
 ];
 
-/// The terms of the classes, as an operator writes them.
-pub const TERMS: &str = r#"
+/// Settings of the classes, as an operator would write them.
+pub const CLASS_SETTINGS: &str = r#"
 [region.riga]
 [domain.riga-a]
 region = "riga"
@@ -69,12 +69,12 @@
 key_digest = "c48a01f49fd0f2cc404bc3cbbc80e91457a3d41bb429a695243de4c61794155c"
 "#;
 
-/// Tokens of the shortest and the longest answer; nobody knows beforehand how long one will be.
-const TOKENS: std::ops::RangeInclusive<u32> = 4..=40;
-/// The same mix in every run.
+/// Lengths of answers in tokens; the routers don't know the length of an answer beforehand.
+const ANSWER_TOKENS: std::ops::RangeInclusive<u32> = 4..=40;
+/// Fixed, so that every run draws the same calls.
 const SEED: u64 = 7;
 
-/// Draws calls.
+/// Draws calls at random.
 pub struct Mix(SmallRng);
 
 impl Mix {
@@ -82,15 +82,15 @@
         Mix(SmallRng::seed_from_u64(SEED))
     }
 
-    /// The next call: its class and the tokens of its answer.
-    pub fn draw(&mut self) -> (Class, u32) {
+    /// Draws the next call; returns its class and the length of its answer in tokens.
+    pub fn next_call(&mut self) -> (Class, u32) {
         let mut point = self.0.random_range(0..100);
-        let tokens = self.0.random_range(TOKENS);
+        let tokens = self.0.random_range(ANSWER_TOKENS);
         for class in CLASSES {
-            if point < class.part {
+            if point < class.percent {
                 return (class, tokens);
             }
-            point -= class.part;
+            point -= class.percent;
         }
         (CLASSES[0], tokens)
     }
--- a/src/cmd/demo/table.rs
+++ b/src/cmd/demo/table.rs
@@ -1,65 +1,68 @@
-//! What the demo shows at its end.
+//! Formats the results of the demo.
 
 use std::fmt::Write;
 use std::time::Duration;
 
 use hdrhistogram::Histogram;
 
-use super::call::{End, Record};
+use super::call::{Outcome, Record};
+use super::cluster::Cluster;
 use super::mix::{CLASSES, Class};
-use super::site::Site;
 
-/// The table, by class and by server.
-pub fn render(records: &[Record], site: &Site) -> String {
+/// Returns tables of the results by class and by backend server, and the wasted tokens.
+pub fn render(records: &[Record], cluster: &Cluster) -> String {
     let mut text = format!(
         "\n{:9}{:>6}{:>9}{:>6}{:>9}{:>9}{:>7}   first token, ms     token interval, ms\n{:56}p50   p95   p99     p50   p95   p99\n",
         "class", "sent", "in time", "late", "refused", "unknown", "wrong", ""
     );
     for class in CLASSES {
-        row(&mut text, class, records);
+        write_class_row(&mut text, class, records);
     }
     let _ = writeln!(text, "\n{:9}{:>6}{:>9}", "server", "runs", "tokens");
-    for (index, engine) in site.engines.iter().enumerate() {
+    for (index, engine) in cluster.engines.iter().enumerate() {
         let name = format!("engine-{index}");
         let _ = writeln!(text, "{name:9}{:>6}{:>9}", engine.total(), engine.tokens());
     }
-    let _ = writeln!(text, "{:9}{:>6}", "desk", site.desk.total());
-    let used: u64 = records.iter().map(|record| u64::from(record.tokens)).sum();
+    let _ = writeln!(text, "{:9}{:>6}", "desk", cluster.desk.total());
+    let delivered: u64 = records.iter().map(|record| u64::from(record.tokens)).sum();
     let _ = write!(
         text,
         "\nwasted tokens: {} of {}",
-        site.tokens() - used.min(site.tokens()),
-        site.tokens()
+        cluster.generated_tokens() - delivered.min(cluster.generated_tokens()),
+        cluster.generated_tokens()
     );
     text
 }
 
-fn row(text: &mut String, class: Class, records: &[Record]) {
-    let of: Vec<_> = records.iter().filter(|record| record.class.name == class.name).collect();
-    let count = |is: &dyn Fn(&Record) -> bool| of.iter().filter(|record| is(record)).count();
-    let whole = |record: &Record| record.end == End::Whole;
-    let timely = |record: &Record| whole(record) && record.took <= class.useful;
-    let served = of.iter().filter(|record| whole(record));
-    let first = quantiles(served.clone().filter_map(|record| record.first));
-    let intervals = quantiles(served.flat_map(|record| record.intervals.iter().copied()));
+/// Appends the counts and latencies of a class.
+fn write_class_row(text: &mut String, class: Class, records: &[Record]) {
+    let calls: Vec<_> = records.iter().filter(|record| record.class.name == class.name).collect();
+    let count =
+        |matches: &dyn Fn(&Record) -> bool| calls.iter().filter(|record| matches(record)).count();
+    let complete = |record: &Record| record.outcome == Outcome::Complete;
+    let timely = |record: &Record| complete(record) && record.elapsed <= class.deadline;
+    let served = calls.iter().filter(|record| complete(record));
+    let first_token = format_quantiles(served.clone().filter_map(|record| record.first_token));
+    let intervals = format_quantiles(served.flat_map(|record| record.intervals.iter().copied()));
     let in_time = count(&timely);
     let _ = writeln!(
         text,
-        "{:9}{:>6}{:>9}{:>6}{:>9}{:>9}{:>7}   {first}   {intervals}",
+        "{:9}{:>6}{:>9}{:>6}{:>9}{:>9}{:>7}   {first_token}   {intervals}",
         class.name,
-        of.len(),
+        calls.len(),
         in_time,
-        count(&whole) - in_time,
-        count(&|record| record.end == End::Refused),
-        count(&|record| record.end == End::Unknown),
-        count(&|record| matches!(record.end, End::Wrong(_))),
+        count(&complete) - in_time,
+        count(&|record| record.outcome == Outcome::Refused),
+        count(&|record| record.outcome == Outcome::Unknown),
+        count(&|record| matches!(record.outcome, Outcome::Incorrect(_))),
     );
 }
 
-fn quantiles(times: impl Iterator<Item = Duration>) -> String {
+/// Formats the 50th, 95th and 99th percentile in milliseconds, or dashes if there are no times.
+fn format_quantiles(times: impl Iterator<Item = Duration>) -> String {
     let mut histogram = Histogram::<u64>::new(3).expect("3 digits are allowed");
     for time in times {
-        // Can't fail: the histogram grows as needed.
+        // Can't fail: the histogram resizes itself for any value.
         let _ = histogram.record(time.as_micros() as u64);
     }
     let at = |quantile| {
--- a/src/cmd/demo/tests.rs
+++ b/src/cmd/demo/tests.rs
@@ -1,53 +1,56 @@
+//! Tests that the demo passes under its load and that its check finds each kind of fault.
+
 use std::time::Duration;
 
-use super::call::{End, Record};
+use super::call::{Outcome, Record};
+use super::cluster::Cluster;
 use super::mix::{CLASSES, Class, Kind};
-use super::site::Site;
 use super::verdict;
 
-fn class(kind: Kind) -> Class {
+/// Returns the first class whose calls are of a kind.
+fn class_of_kind(kind: Kind) -> Class {
     CLASSES.into_iter().find(|class| class.kind == kind).unwrap()
 }
 
-/// The demo is what a newcomer runs first, and its verdict is believed. It must hold under a burst
-/// of four times what the engines bear.
+/// Guards against a demo that fails or reports a fault under its burst of four times the engines'
+/// capacity. It is the first thing that new users run, and they rely on its result.
 #[actix_rt::test]
 async fn can_hold_under_a_burst() {
     tokio::time::pause();
-    let site = Site::start().await.unwrap();
-    super::run(&site, 6).await.unwrap();
-    let refused = site.engines.iter().map(fakes::Engine::total).sum::<u32>();
-    assert!(refused > 100, "{refused}");
+    let cluster = Cluster::start().await.unwrap();
+    super::run_and_verify(&cluster, 6).await.unwrap();
+    let runs = cluster.engines.iter().map(fakes::Engine::total).sum::<u32>();
+    assert!(runs > 100, "{runs}");
 }
 
-/// A verdict that is always good is worth nothing: each way in which a caller can be wronged must
-/// be seen.
+/// Guards against a check that misses a fault: the table has each way in which a caller can be told
+/// something untrue.
 #[test]
-fn errors_on_each_wrong_told_to_a_caller() {
-    let wrong = End::Wrong("crossed".to_string());
+fn errors_on_each_untrue_answer_to_a_caller() {
+    let incorrect = Outcome::Incorrect("crossed".to_string());
     let table = [
-        (Kind::Whole, End::Whole, 1, true),
-        (Kind::Whole, End::Whole, 2, true),
-        (Kind::Whole, End::Whole, 0, false),
-        (Kind::Charge, End::Whole, 1, true),
-        (Kind::Charge, End::Whole, 2, false),
-        (Kind::Charge, End::Refused, 1, false),
-        (Kind::Streamed, End::Refused, 0, true),
-        (Kind::Streamed, End::Refused, 1, false),
-        (Kind::Streamed, End::Unknown, 1, false),
-        (Kind::Streamed, wrong, 1, false),
+        (Kind::Complete, Outcome::Complete, 1, true),
+        (Kind::Complete, Outcome::Complete, 2, true),
+        (Kind::Complete, Outcome::Complete, 0, false),
+        (Kind::Charge, Outcome::Complete, 1, true),
+        (Kind::Charge, Outcome::Complete, 2, false),
+        (Kind::Charge, Outcome::Refused, 1, false),
+        (Kind::Streamed, Outcome::Refused, 0, true),
+        (Kind::Streamed, Outcome::Refused, 1, false),
+        (Kind::Streamed, Outcome::Unknown, 1, false),
+        (Kind::Streamed, incorrect, 1, false),
     ];
-    for (kind, end, runs, good) in table {
+    for (kind, outcome, runs, good) in table {
         let record = Record {
-            class: class(kind),
+            class: class_of_kind(kind),
             id: "id".to_string(),
-            end,
-            first: None,
+            outcome,
+            first_token: None,
             intervals: vec![],
-            took: Duration::ZERO,
+            elapsed: Duration::ZERO,
             tokens: 0,
         };
-        let fault = verdict::fault(&record, runs);
+        let fault = verdict::find_fault(&record, runs);
         assert_eq!(fault.is_none(), good, "{record:?} {runs}: {fault:?}");
     }
 }
--- a/src/cmd/digest.rs
+++ b/src/cmd/digest.rs
@@ -1,9 +1,11 @@
+//! Implements `digest`.
+
 use std::io::stdin;
 
 use anyhow::{Context, ensure};
 
-/// Reads a key from standard input, so that it stays out of the shell's history, and prints the
-/// digest that a tree holds.
+/// Prints the digest of a bearer key for a tree. The key is read from standard input, so that it doesn't
+/// get into the shell's history.
 pub fn digest() -> anyhow::Result<()> {
     let mut key = String::new();
     stdin().read_line(&mut key).context("can't read a key from standard input")?;
--- a/src/cmd/explain.rs
+++ b/src/cmd/explain.rs
@@ -1,3 +1,5 @@
+//! Implements `explain` and `show`.
+
 use std::path::Path;
 
 use anyhow::{Context, ensure};
@@ -6,26 +8,26 @@
 use super::trees;
 use crate::messages::{Format, Table};
 
-/// Names shown where one wasn't found; more would bury the message.
-const SHOWN: usize = 8;
-const HEAD: &[&str] = &["path", "value", "set_by", "overrides"];
+/// Most names to suggest when a path isn't found; more would hide the message.
+const MAX_SUGGESTIONS: usize = 8;
+const HEADER: &[&str] = &["path", "value", "set_by", "overrides"];
 
-/// Shows each value of a branch, or the value of one leaf, with who set it.
+/// Prints each value of a branch, or the value of one leaf, with where it is set.
 pub fn explain(tree: &Path, path: &str, format: Format) -> anyhow::Result<()> {
     let effective = trees::load(tree)?;
-    let (branch, leaf) = find(&effective, path)?;
+    let (branch, leaf) = find_branch(&effective, path)?;
     let rows = effective.explain(branch);
-    let mut table = Table::new(HEAD);
-    let mut any = false;
+    let mut table = Table::new(HEADER);
+    let mut found = false;
     for row in rows.iter().filter(|row| leaf.is_none_or(|leaf| row.leaf.spec().name == leaf)) {
-        table.row(cells(&branch.path(), row));
-        any = true;
+        table.add_row(row_cells(&branch.path(), row));
+        found = true;
     }
-    ensure!(any, "{path} isn't a setting of this branch; see docs/SETTINGS.md");
-    table.show(format)
+    ensure!(found, "{path} isn't a setting of this branch; see docs/SETTINGS.md");
+    table.print(format)
 }
 
-/// Shows what is in force for every branch of a kind, or of all.
+/// Prints the values in force for every branch, or for those of one kind.
 pub fn show(tree: &Path, kind: Option<&str>, format: Format) -> anyhow::Result<()> {
     let effective = trees::load(tree)?;
     let kinds = match kind {
@@ -35,16 +37,17 @@
             format!("no kind of branch is named `{word}`; kinds are {words}")
         })?],
     };
-    let mut table = Table::new(HEAD);
+    let mut table = Table::new(HEADER);
     for branch in kinds.into_iter().flat_map(|kind| effective.branches(kind)) {
         for row in effective.explain(branch).iter().filter(|row| row.value.is_some()) {
-            table.row(cells(&branch.path(), row));
+            table.add_row(row_cells(&branch.path(), row));
         }
     }
-    table.show(format)
+    table.print(format)
 }
 
-fn find<'a, 'b>(
+/// Splits a path into the existing branch and the name of the leaf, if the path has one.
+fn find_branch<'a, 'b>(
     effective: &'a Effective,
     path: &'b str,
 ) -> anyhow::Result<(&'a settings::Branch, Option<&'b str>)> {
@@ -53,15 +56,15 @@
     }
     let leaf = path.rsplit_once('.');
     let found = leaf.and_then(|(branch, leaf)| Some((effective.branch(branch)?, leaf)));
-    let (branch, leaf) = found.with_context(|| nothing(effective, path))?;
+    let (branch, leaf) = found.with_context(|| not_found_message(effective, path))?;
     Ok((branch, Some(leaf)))
 }
 
-/// Tells that nothing stands at a path, and what does.
-fn nothing(effective: &Effective, path: &str) -> String {
+/// Returns the error for a path without a branch, with the names of branches of its kind.
+fn not_found_message(effective: &Effective, path: &str) -> String {
     let kind = path.split('.').next().and_then(Kind::from_word);
     let known = kind.into_iter().flat_map(|kind| effective.branches(kind));
-    let known: Vec<_> = known.map(|branch| branch.path()).take(SHOWN).collect();
+    let known: Vec<_> = known.map(|branch| branch.path()).take(MAX_SUGGESTIONS).collect();
     let hint = match known.is_empty() {
         true => "write KIND.NAME or KIND.NAME.SETTING, such as class.booking.deadline".to_string(),
         false => format!("of this kind there is {}", known.join(", ")),
@@ -69,11 +72,12 @@
     format!("nothing stands at `{path}`; {hint}")
 }
 
-fn cells(branch: &str, row: &Row) -> [String; 4] {
+/// Returns the cells of the table for a leaf of a branch.
+fn row_cells(branch: &str, row: &Row) -> [String; 4] {
     let origin =
         |definition: &Definition| format!("{} ({})", definition.branch, definition.location);
-    let set = match (&row.set_by, &row.value) {
-        (Some(set), _) => origin(set),
+    let set_by = match (&row.set_by, &row.value) {
+        (Some(definition), _) => origin(definition),
         (None, Some(_)) => "default".to_string(),
         (None, None) => "nobody".to_string(),
     };
@@ -82,7 +86,7 @@
     [
         format!("{branch}.{}", row.leaf.spec().name),
         row.value.clone().unwrap_or_default(),
-        set,
+        set_by,
         overridden.join("; "),
     ]
 }
--- a/src/cmd/init.rs
+++ b/src/cmd/init.rs
@@ -1,17 +1,20 @@
+//! Implements `init`.
+
 use std::path::Path;
 
 use anyhow::{Context, ensure};
 
-/// The tree that a new deployment starts from.
-const FIRST: &str = include_str!("init.toml");
+/// Commented example tree for a new deployment.
+const EXAMPLE_TREE: &str = include_str!("init.toml");
 
-/// Writes a first, commented tree into a directory.
+/// Writes the example tree into a directory, unless the directory has one already.
 pub fn init(directory: &Path) -> anyhow::Result<()> {
     let file = directory.join("tree.toml");
     ensure!(!file.exists(), "{} is there already; name another directory", file.display());
     std::fs::create_dir_all(directory)
         .with_context(|| format!("can't make {}", directory.display()))?;
-    std::fs::write(&file, FIRST).with_context(|| format!("can't write {}", file.display()))?;
+    std::fs::write(&file, EXAMPLE_TREE)
+        .with_context(|| format!("can't write {}", file.display()))?;
     println!(
         "wrote {}; change it, then run `godwitlever check {}`",
         file.display(),
--- a/src/cmd/mod.rs
+++ b/src/cmd/mod.rs
@@ -1,3 +1,5 @@
+//! Implements the subcommands of the operator's command.
+
 mod check;
 mod demo;
 mod diff;
--- a/src/cmd/trees.rs
+++ b/src/cmd/trees.rs
@@ -1,20 +1,20 @@
-//! Reads trees from files.
+//! Reads trees of settings from files and directories.
 
 use std::path::{Path, PathBuf};
 
 use anyhow::{Context, ensure};
 use settings::Effective;
 
-/// The tree in a file, or in all `.toml` files of a directory.
+/// Reads and resolves the tree in a file, or in all `.toml` files of a directory.
 pub fn load(path: &Path) -> anyhow::Result<Effective> {
-    Ok(Effective::build(0, &parts(&[path.to_path_buf()])?, None)?)
+    Ok(Effective::build(0, &read_parts(&[path.to_path_buf()])?, None)?)
 }
 
-/// The texts of files and of all `.toml` files in directories, each with its path.
-pub fn parts(paths: &[PathBuf]) -> anyhow::Result<Vec<(String, String)>> {
+/// Reads files and all `.toml` files in directories; returns the path and text of each.
+pub fn read_parts(paths: &[PathBuf]) -> anyhow::Result<Vec<(String, String)>> {
     let mut parts = vec![];
     for path in paths {
-        for file in files(path)? {
+        for file in list_files(path)? {
             let text = std::fs::read_to_string(&file);
             let text = text.with_context(|| format!("can't read {}", file.display()))?;
             parts.push((file.display().to_string(), text));
@@ -24,7 +24,8 @@
     Ok(parts)
 }
 
-fn files(path: &Path) -> anyhow::Result<Vec<PathBuf>> {
+/// Returns the path itself, or the sorted `.toml` files if it is a directory.
+fn list_files(path: &Path) -> anyhow::Result<Vec<PathBuf>> {
     if !path.is_dir() {
         return Ok(vec![path.to_path_buf()]);
     }
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,4 @@
-//! The operator's command.
+//! Runs the operator's command: it checks and explains settings and shows the state of nodes.
 
 mod cli;
 mod cmd;
@@ -13,7 +13,7 @@
 fn main() -> ExitCode {
     let cli = cli::Cli::parse();
     let format = cli.format;
-    let done = match cli.command {
+    let result = match cli.command {
         Command::Check { paths } => cmd::check(&paths, format),
         Command::Explain { tree, path } => cmd::explain(&tree, &path, format),
         Command::Show { tree, kind } => cmd::show(&tree, kind.as_deref(), format),
@@ -29,10 +29,10 @@
         }
         Command::Demo { seconds, keep } => cmd::demo(seconds, keep),
     };
-    match done {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
-            messages::error(&error);
+            messages::print_error(&error);
             ExitCode::FAILURE
         }
     }
