--- a/components/losses/tests/report.rs
+++ b/components/losses/tests/report.rs
@@ -70,8 +70,8 @@
     }
 }
 
-/// Logs of several nodes arrive unordered, some lines truncated and some dropped under load. The report
-/// counts the lines that it couldn't parse, so that its reader knows how much is missing.
+/// Logs of several nodes arrive unordered, some lines truncated and some dropped under load. The
+/// report counts the lines that it couldn't parse, so that its reader knows how much is missing.
 #[test]
 fn a_report_says_what_it_could_not_read() {
     let mut losses = Aggregator::default();
--- a/components/router/src/operators.rs
+++ b/components/router/src/operators.rs
@@ -42,7 +42,7 @@
     for (key, class) in settings.iter().flat_map(|settings| &settings.classes) {
         let work = held.iter().find(|work| work.class == key);
         let (waiting, sent) = work.map_or((0, 0), |work| (work.waiting, work.sent));
-        state.metrics.set_work(&class.name, waiting, sent);
+        state.metrics.set_request_counts(&class.name, waiting, sent);
     }
     state.metrics.render()
 }
--- a/components/settings/src/build.rs
+++ b/components/settings/src/build.rs
@@ -230,8 +230,8 @@
         found.map(|branch| branch.location.clone())
     }
 
-    /// Returns a warning for each value that is valid but probably a mistake: two tiers of one rank, two
-    /// servers of one address, and a limit on requests in flight above the slots of all servers.
+    /// Returns a warning for each value that is valid but probably a mistake: two tiers of one rank,
+    /// two servers of one address, and a limit on requests in flight above the slots of all servers.
     fn find_warnings(&self, tree: &Tree) -> Vec<Fault> {
         let mut warnings = vec![];
         let usually_unique = [(Kind::Tier, Leaf::Rank), (Kind::Server, Leaf::Address)];
--- a/components/settings/src/effective.rs
+++ b/components/settings/src/effective.rs
@@ -11,7 +11,8 @@
 use crate::part::{self, Part};
 use crate::tree::Tree;
 
-/// SHA-256 of a bearer key. The tree stores only digests, so that its readers can't call as the key's owner.
+/// SHA-256 of a bearer key. The tree stores only digests, so that its readers can't call as the key's
+/// owner.
 pub type KeyDigest = [u8; 32];
 
 derives::data! {
@@ -109,7 +110,7 @@
 
     /// Limits of the deployment: on incoming requests, on time-outs, and on what nodes spend.
     pub struct Limits {
-        /// Open connections of callers per node.
+        /// Most open connections of callers per node.
         pub connections: usize,
         /// Largest request head in bytes.
         pub max_head: usize,
@@ -125,7 +126,7 @@
         pub key_window: Duration,
         /// Upper bound on the skew between two nodes' clocks.
         pub skew: Duration,
-        /// Upper bound on the age of the list of VMs.
+        /// Upper bound on the time by which the list of VMs lags behind.
         pub list_lag: Duration,
         /// Bytes per second that a node may send over the link between regions.
         pub link_bytes: u64,
@@ -154,8 +155,8 @@
     }
 }
 
-/// The settings in force, resolved from one complete revision. Values that a revision doesn't change are
-/// shared with the previous one.
+/// The settings in force, resolved from one complete revision. Values that a revision doesn't change
+/// are shared with the previous one.
 #[derive(Clone, Debug)]
 pub struct Effective {
     /// Revision number from the configuration service.
--- a/components/settings/src/explain.rs
+++ b/components/settings/src/explain.rs
@@ -31,8 +31,8 @@
         pub overrides: Vec<Definition>,
     }
 
-    /// A leaf whose value in force differs between two trees. An added or removed branch differs in every
-    /// leaf that has a value.
+    /// A leaf whose value in force differs between two trees. An added or removed branch differs in
+    /// every leaf that has a value.
     pub struct Difference {
         /// Path of the leaf.
         pub path: String,
@@ -121,8 +121,8 @@
         values
     }
 
-    /// Returns a line for each workspace and model that has a usable backend server in `self` but none in
-    /// `new`.
+    /// Returns a line for each workspace and model that has a usable backend server in `self` but none
+    /// in `new`.
     pub fn lost_service(&self, new: &Effective) -> Vec<String> {
         let mut losses = vec![];
         for (key, workspace) in &self.workspaces {
--- a/components/settings/src/names.rs
+++ b/components/settings/src/names.rs
@@ -11,8 +11,8 @@
     keys: HashMap<Rc<str>, K>,
 }
 
-/// Names of one kind and their keys. A name keeps its key over all revisions in a process. Clones share
-/// one table until a new name is added to one of them.
+/// Names of one kind and their keys. A name keeps its key over all revisions in a process. Clones
+/// share one table until a new name is added to one of them.
 #[derive(Clone, Debug)]
 pub struct Names<K: Key>(Rc<Table<K>>);
 
--- a/components/settings/src/node.rs
+++ b/components/settings/src/node.rs
@@ -55,7 +55,8 @@
     ///
     /// # Errors
     ///
-    /// Returns [`Error::Malformed`] if the text isn't valid TOML or has an unknown, missing or wrong field.
+    /// Returns [`Error::Malformed`] if the text isn't valid TOML or has an unknown, missing or wrong
+    /// field.
     ///
     /// ```
     /// assert!(settings::node::Node::parse("nonsense = 1", "node.toml").is_err());
--- a/components/settings/src/part.rs
+++ b/components/settings/src/part.rs
@@ -1,4 +1,5 @@
-//! Parses one part of a tree into branches. A part is parsed once; revisions that don't change it share it.
+//! Parses one part of a tree into branches. A part is parsed once; revisions that don't change it
+//! share it.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -54,7 +55,8 @@
     format!("{:016x}", xxh3_64(text.as_bytes()))
 }
 
-/// Returns the digest of a revision from the names and digests of its parts, whose order doesn't matter.
+/// Returns the digest of a revision from the names and digests of its parts, whose order doesn't
+/// matter.
 ///
 /// ```
 /// let one = settings::part::revision_digest([("a", "1"), ("b", "2")]);
@@ -98,8 +100,8 @@
 }
 
 impl Part {
-    /// Parses a text. Its faults are stored in the part, so that all faults of a tree can be reported at
-    /// once. A text with a syntax error gives no branches.
+    /// Parses a text. Its faults are stored in the part, so that all faults of a tree can be reported
+    /// at once. A text with a syntax error gives no branches.
     ///
     /// ```
     /// let part = settings::Part::parse("tree.toml", "[tier.top]\nrnk = 0");
@@ -111,7 +113,7 @@
             Parser { origin: name.as_ref().into(), line_starts: line_starts(text), faults: vec![] };
         let (table, errors) = DeTable::parse_recoverable(text);
         for error in errors {
-            let line = parser.line(error.span().map_or(0, |span| span.start));
+            let line = parser.line_at(error.span().map_or(0, |span| span.start));
             parser.add_fault(line, String::new(), Cause::Syntax(error.message().to_string()));
         }
         // The branches recovered from a text with syntax errors would give misleading faults.
@@ -136,7 +138,7 @@
 
 impl Parser {
     /// Returns the line, counted from 1, of a byte offset.
-    fn line(&self, offset: usize) -> usize {
+    fn line_at(&self, offset: usize) -> usize {
         self.line_starts.partition_point(|start| *start <= offset)
     }
 
@@ -144,15 +146,17 @@
         Location { origin: self.origin.clone(), line }
     }
 
+    /// Records a fault at a line.
     fn add_fault(&mut self, line: usize, path: String, cause: Cause) {
         let location = self.location(line);
         self.faults.push(Fault { location, path, cause });
     }
 
+    /// Parses all branches of the part, recording a fault for each invalid one.
     fn parse_branches(&mut self, table: &DeTable<'_>) -> Vec<Rc<Branch>> {
         let mut branches = vec![];
         for (key, value) in table {
-            let line = self.line(key.span().start);
+            let line = self.line_at(key.span().start);
             let Some(kind) = Kind::from_word(key.get_ref()) else {
                 let near = nearest_match(key.get_ref(), Kind::ALL.map(Kind::as_str));
                 self.add_fault(line, key.get_ref().to_string(), Cause::UnknownKind(near));
@@ -167,13 +171,14 @@
                 continue;
             };
             for (name, value) in children {
-                let line = self.line(name.span().start);
+                let line = self.line_at(name.span().start);
                 branches.extend(self.parse_branch(kind, name.get_ref(), line, value));
             }
         }
         branches
     }
 
+    /// Parses a branch, recording a fault for each invalid leaf; `None` if it isn't a table.
     fn parse_branch(
         &mut self,
         kind: Kind,
@@ -188,7 +193,7 @@
             return None;
         };
         for (key, value) in leaves {
-            let line = self.line(key.span().start);
+            let line = self.line_at(key.span().start);
             match parse_leaf(kind, key.get_ref(), value.get_ref()) {
                 Ok((leaf, value)) => branch.assignments.push(Assignment { leaf, value, line }),
                 Err(cause) => {
@@ -200,6 +205,7 @@
     }
 }
 
+/// Parses a leaf of a branch, checking that the branch's kind can have it.
 fn parse_leaf(kind: Kind, name: &str, value: &DeValue<'_>) -> Result<(Leaf, Value), Cause> {
     let Some(leaf) = Leaf::from_name(name) else {
         let known = Leaf::ALL.iter().filter(|leaf| leaf.allowed_in(kind));
--- a/components/settings/src/tree.rs
+++ b/components/settings/src/tree.rs
@@ -17,7 +17,8 @@
 }
 
 impl Tree {
-    /// Collects the branches of all parts. A branch that exists twice is a fault, and the first is kept.
+    /// Collects the branches of all parts. A branch that exists twice is a fault, and the first is
+    /// kept.
     pub(crate) fn from_parts(parts: &[Rc<Part>], faults: &mut Vec<Fault>) -> Self {
         let mut tree = Tree::default();
         for branch in parts.iter().flat_map(|part| &part.branches) {
@@ -56,8 +57,8 @@
         self.branch(Kind::from_word(kind)?, name)
     }
 
-    /// Returns a branch and the branches that it inherits from, nearest first. References to branches that
-    /// don't exist are skipped.
+    /// Returns a branch and the branches that it inherits from, nearest first. References to branches
+    /// that don't exist are skipped.
     pub fn chain<'a>(&'a self, branch: &'a Branch) -> Chain<'a> {
         let mut chain = Chain(vec![branch]);
         match branch.kind {
@@ -161,10 +162,12 @@
         }
     }
 
+    /// Returns whether the flag in force is set.
     pub(crate) fn flag(&self, leaf: Leaf) -> bool {
         matches!(self.value(leaf), Some(Value::Flag(true)))
     }
 
+    /// Returns the string in force.
     pub(crate) fn text(&self, leaf: Leaf) -> Option<&'a str> {
         match self.value(leaf) {
             Some(Value::Text(text)) => Some(text),
@@ -172,6 +175,7 @@
         }
     }
 
+    /// Returns the list in force; empty if the leaf has none.
     pub(crate) fn texts(&self, leaf: Leaf) -> &'a [String] {
         match self.value(leaf) {
             Some(Value::Texts(texts)) => texts,
--- a/components/settings/src/unit.rs
+++ b/components/settings/src/unit.rs
@@ -32,7 +32,7 @@
     parse_scaled(text, &TIME_UNITS).map(Duration::from_nanos)
 }
 
-/// Reads a size in bytes such as `1MiB`; returns `None` for any other text.
+/// Parses a size in bytes such as `1MiB`; returns `None` for any other text.
 ///
 /// ```
 /// assert_eq!(settings::unit::parse_size("1MiB"), Some(1_048_576));
--- a/components/settings/src/watermark.rs
+++ b/components/settings/src/watermark.rs
@@ -1,9 +1,9 @@
 //! Tracks the highest settings revision of a process, so that it never goes back to an older one.
 //!
-//! A replica of the configuration service may be stale, a peer may lag or send false data, and a revision
-//! number may be published twice. If a process followed each source, an accepted change could revert on
-//! some nodes. So only a higher revision replaces the one in force; the same number with another digest
-//! raises an alarm and changes nothing; and a refused revision isn't tried again.
+//! A replica of the configuration service may be stale, a peer may lag or send false data, and a
+//! revision number may be published twice. If a process followed each source, an accepted change could
+//! revert on some nodes. So only a higher revision replaces the one in force; the same number with
+//! another digest raises an alarm and changes nothing; and a refused revision isn't tried again.
 
 derives::value! {
     /// Identifies a revision that was offered to the process.
--- a/components/settings/tests/garbage.rs
+++ b/components/settings/tests/garbage.rs
@@ -52,7 +52,8 @@
 proptest! {
     #![proptest_config(config())]
 
-    // Guards against a crash when someone publishes a text that isn't a tree: it is refused with a reason.
+    // Guards against a crash when someone publishes a text that isn't a tree: it is refused with a
+    // reason.
     #[test]
     fn can_refuse_any_text(text in "\\PC{0,80}") {
         build(text);
--- a/components/settings/tests/revisions.rs
+++ b/components/settings/tests/revisions.rs
@@ -73,8 +73,8 @@
         ..ProptestConfig::default()
     })]
 
-    /// Guards against a difference between a revision resolved from the previous one and the same revision
-    /// resolved from scratch.
+    /// Guards against a difference between a revision resolved from the previous one and the same
+    /// revision resolved from scratch.
     #[test]
     fn can_reach_the_same_by_steps(
         steps in prop::collection::vec(prop::collection::vec(prop::option::of(1u32..4), 4), 1..6)
--- a/components/telemetry/src/logs.rs
+++ b/components/telemetry/src/logs.rs
@@ -17,8 +17,8 @@
     Json,
 }
 
-/// Starts logging to standard output. Logging a record never blocks: lines beyond the rate limit or the
-/// capacity of the writer's queue are dropped and counted.
+/// Starts logging to standard output. Logging a record never blocks: lines beyond the rate limit or
+/// the capacity of the writer's queue are dropped and counted.
 ///
 /// # Errors
 ///
--- a/components/telemetry/src/metrics.rs
+++ b/components/telemetry/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters, gauges and histograms of one router, rendered in the Prometheus text format.
+//! Records the counters, gauges and histograms of one router, and renders them in the Prometheus text format.
 
 use std::cell::RefCell;
 use std::collections::BTreeSet;
@@ -14,8 +14,8 @@
 const BUCKETS_SECONDS: [f64; 12] =
     [0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 0.87, 2.0, 5.0, 15.0, 60.0];
 
-/// Workspaces with a histogram of their own. Each histogram has about 15 time series, so all of them have
-/// about 500.
+/// Most workspaces with a histogram of their own. Each histogram has about 15 time series, so all of them
+/// have about 500.
 const MAX_WORKSPACE_HISTOGRAMS: usize = 32;
 
 /// Metrics of one router.
@@ -34,7 +34,7 @@
     /// Workspaces that have a histogram of their own.
     own_histogram: RefCell<BTreeSet<String>>,
     live_peers: IntGauge,
-    work: IntGaugeVec,
+    request_counts: IntGaugeVec,
     first_token: HistogramVec,
     token_interval: HistogramVec,
 }
@@ -102,16 +102,16 @@
             "Tokens passed on in answers that didn't come to their end",
             &["class"],
         );
-        let work = IntGaugeVec::new(
+        let request_counts = IntGaugeVec::new(
             Opts::new("godwitlever_work", "Requests held now, by class and state"),
             &["class", "state"],
         )
         .expect("the metric's name is valid");
-        registry.register(Box::new(work.clone())).expect("the metric is registered once");
+        registry.register(Box::new(request_counts.clone())).expect("the metric is registered once");
         Metrics {
             failed_attempts,
             wasted_tokens,
-            work,
+            request_counts,
             answer_times: class_histogram(
                 "godwitlever_answer_seconds",
                 "Time to the end of whole answers",
@@ -150,8 +150,8 @@
         self.refusals.with_label_values(&[reason]).inc();
     }
 
-    /// Counts an answer, or a part of one, that was dropped because it belonged to another request or an
-    /// older attempt.
+    /// Counts an answer, or a part of one, that was dropped because it belonged to another request or
+    /// an older attempt.
     pub fn count_mismatched_answer(&self) {
         self.mismatched_answers.inc();
     }
@@ -199,9 +199,9 @@
 
     /// Sets the number of a class's requests that wait on this node and that are in flight at backend
     /// servers.
-    pub fn set_work(&self, class: &str, waiting: u32, in_flight: u32) {
-        self.work.with_label_values(&[class, "waiting"]).set(waiting.into());
-        self.work.with_label_values(&[class, "sent"]).set(in_flight.into());
+    pub fn set_request_counts(&self, class: &str, waiting: u32, in_flight: u32) {
+        self.request_counts.with_label_values(&[class, "waiting"]).set(waiting.into());
+        self.request_counts.with_label_values(&[class, "sent"]).set(in_flight.into());
     }
 
     /// Records the time from a request's arrival to its first token.
--- a/components/telemetry/src/settings.rs
+++ b/components/telemetry/src/settings.rs
@@ -1,4 +1,4 @@
-//! Metrics of the settings revisions that a node receives.
+//! Records the metrics of the settings revisions that a node receives.
 
 use prometheus::{IntCounterVec, IntGauge, Opts, Registry};
 
--- a/components/telemetry/src/sink.rs
+++ b/components/telemetry/src/sink.rs
@@ -1,6 +1,6 @@
 //! Writes log lines to standard output from a thread of its own, so that a reader who stops reading
-//! the output can't block the process. Lines beyond the rate limit or the queue's capacity are dropped,
-//! and a log line reports their count.
+//! the output can't block the process. Lines beyond the rate limit or the queue's capacity are
+//! dropped, and a log line reports their count.
 
 use std::io::{self, Write};
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -11,8 +11,9 @@
 
 /// Lines that may wait for the writer: what a busy node logs in about a second.
 const QUEUE_CAPACITY: usize = 1_024;
-/// Limit on the lines per second, and on the size of a burst. A node at its peak request rate logs fewer
-/// lines; without the limit, logging during mass failures would take processor time from requests.
+/// Limit on the lines per second, and on the size of a burst. A node at its peak request rate logs
+/// fewer lines; without the limit, logging during mass failures would take processor time from
+/// requests.
 const MAX_LINES_PER_SECOND: f64 = 400.0;
 /// Longest time that an ending process waits for its last lines to be written.
 const FLUSH_TIMEOUT: Duration = Duration::from_millis(200);
@@ -78,8 +79,7 @@
     }
 }
 
-/// Waits until all queued lines are written, or for [`FLUSH_TIMEOUT`] at most. Returns at once if the
-/// queue is full.
+/// Waits until all queued lines are written, for 200 ms at most. Returns at once if the queue is full.
 pub fn flush_log() {
     let Some(writer) = WRITER.get() else { return };
     let (done, written) = sync_channel(1);
--- a/src/bin/godwitleverd.rs
+++ b/src/bin/godwitleverd.rs
@@ -89,7 +89,7 @@
     let text = match read_settings(cli) {
         Ok(text) => text,
         Err(cause) => {
-            log::warn!(cause:% = format!("{cause:#}"); "can't read the settings file; the settings in force stay");
+            log::warn!(cause:% = format!("{cause:#}"); "can't read the settings file; keeping the last settings");
             return;
         }
     };
@@ -103,7 +103,8 @@
     *current = text;
 }
 
-/// A running node, with the router's own interface or with an adapter for another platform's protocols.
+/// A running node, with the router's own interface or with an adapter for another platform's
+/// protocols.
 enum Running {
     Router(Router),
     Proxy(Proxy<Platform>),
--- a/src/cmd/check.rs
+++ b/src/cmd/check.rs
@@ -1,4 +1,4 @@
-//! Implements `check`.
+//! Implements `check`, which validates a tree.
 
 use std::path::PathBuf;
 
@@ -8,7 +8,8 @@
 use super::trees;
 use crate::messages::{Format, Table};
 
-/// Checks that the files form a valid tree, and prints all faults and warnings. Fails if there are faults.
+/// Checks that the files form a valid tree, and prints all faults and warnings. Fails if there are
+/// faults.
 pub fn check(paths: &[PathBuf], format: Format) -> anyhow::Result<()> {
     let parts = trees::read_parts(paths)?;
     let mut table = Table::new(&["kind", "place", "path", "message"]);
--- a/src/cmd/demo.rs
+++ b/src/cmd/demo.rs
@@ -29,7 +29,7 @@
 
 /// Sends the load, prints the results, and fails if a caller was told something untrue.
 async fn run_and_verify(cluster: &Cluster, seconds: u64) -> anyhow::Result<()> {
-    let records = load::run(cluster, seconds).await;
+    let records = load::send_load(cluster, seconds).await;
     println!("{}", table::render(&records, cluster));
     let faults: Vec<_> =
         records.iter().filter_map(|r| verdict::find_fault(r, cluster.run_count(r))).collect();
--- a/src/cmd/demo/call.rs
+++ b/src/cmd/demo/call.rs
@@ -103,11 +103,13 @@
         ("complete", Kind::Charge) if received == br#"{"booked":true}"# => Outcome::Complete,
         ("complete", Kind::Complete) => match parse_answer(received) {
             Some((id, text)) => check_text(record, &id, &text, tokens),
-            None => Outcome::Incorrect("no JSON came".to_string()),
+            None => Outcome::Incorrect("the answer isn't the expected JSON".to_string()),
         },
         ("streaming", Kind::Streamed) => match parse_stream(received) {
             Some((id, text)) => check_text(record, &id, &text, tokens),
-            None => Outcome::Incorrect("the stream broke off".to_string()),
+            None => {
+                Outcome::Incorrect("the stream has no end mark or an invalid event".to_string())
+            }
         },
         _ => {
             Outcome::Incorrect(format!("outcome {header_outcome:?} with {} bytes", received.len()))
@@ -121,7 +123,7 @@
     if id != record.id {
         Outcome::Incorrect(format!("the answer is to request {id}"))
     } else if text.trim_end() != expected.join(" ") {
-        Outcome::Incorrect("the answer isn't whole".to_string())
+        Outcome::Incorrect("the answer is incomplete".to_string())
     } else {
         Outcome::Complete
     }
--- a/src/cmd/demo/cluster.rs
+++ b/src/cmd/demo/cluster.rs
@@ -23,7 +23,8 @@
 const READY_POLL_INTERVAL: Duration = Duration::from_millis(20);
 const DOMAIN: &str = "riga-a";
 
-/// The routers of the demo with their simulated backend servers, configuration service and list of VMs.
+/// The routers of the demo with their simulated backend servers, configuration service and list of
+/// VMs.
 pub struct Cluster {
     platform: Platform,
     pub engines: Vec<Engine>,
--- a/src/cmd/demo/load.rs
+++ b/src/cmd/demo/load.rs
@@ -17,7 +17,7 @@
 const BURST_DIVISOR: u32 = 3;
 
 /// Sends calls for a number of seconds and waits for all answers.
-pub async fn run(cluster: &Cluster, seconds: u64) -> Vec<Record> {
+pub async fn send_load(cluster: &Cluster, seconds: u64) -> Vec<Record> {
     let connector = awc::Connector::new().limit(0);
     let client = awc::Client::builder().connector(connector).disable_timeout().finish();
     let duration = Duration::from_secs(seconds);
--- a/src/cmd/demo/mix.rs
+++ b/src/cmd/demo/mix.rs
@@ -23,7 +23,8 @@
     pub kind: Kind,
     /// Share of all calls, in percent.
     pub percent: u32,
-    /// Time after which the answer is useless to its caller; the `deadline` of its tier in [`CLASS_SETTINGS`].
+    /// Time after which the answer is useless to its caller; the `deadline` of its tier in
+    /// [`CLASS_SETTINGS`].
     pub deadline: Duration,
 }
 
--- a/src/cmd/diff.rs
+++ b/src/cmd/diff.rs
@@ -1,4 +1,4 @@
-//! Implements `diff`.
+//! Implements `diff`, which compares the effects of two trees.
 
 use std::path::Path;
 
--- a/src/cmd/digest.rs
+++ b/src/cmd/digest.rs
@@ -1,11 +1,11 @@
-//! Implements `digest`.
+//! Implements `digest`, which prints the digest of a bearer key.
 
 use std::io::stdin;
 
 use anyhow::{Context, ensure};
 
-/// Prints the digest of a bearer key for a tree. The key is read from standard input, so that it doesn't
-/// get into the shell's history.
+/// Prints the digest of a bearer key for a tree. The key is read from standard input, so that it
+/// doesn't get into the shell's history.
 pub fn digest() -> anyhow::Result<()> {
     let mut key = String::new();
     stdin().read_line(&mut key).context("can't read a key from standard input")?;
--- a/src/cmd/explain.rs
+++ b/src/cmd/explain.rs
@@ -1,4 +1,4 @@
-//! Implements `explain` and `show`.
+//! Implements `explain` and `show`, which print values in force and where they are set.
 
 use std::path::Path;
 
--- a/src/cmd/init.rs
+++ b/src/cmd/init.rs
@@ -1,4 +1,4 @@
-//! Implements `init`.
+//! Implements `init`, which writes an example tree.
 
 use std::path::Path;
 
--- a/src/cmd/losses.rs
+++ b/src/cmd/losses.rs
@@ -1,4 +1,4 @@
-//! Implements `losses`.
+//! Implements `losses`, which reports from nodes' logs which requests weren't served in time.
 
 use std::collections::BTreeMap;
 use std::fs::File;
@@ -39,8 +39,8 @@
     Ok(())
 }
 
-/// Adds all lines of a log to the aggregator. A line that isn't valid UTF-8 may count as unreadable but
-/// doesn't stop the reading.
+/// Adds all lines of a log to the aggregator. A line that isn't valid UTF-8 may count as unreadable
+/// but doesn't stop the reading.
 fn read_lines(mut from: impl BufRead, aggregator: &mut Aggregator) -> io::Result<()> {
     let mut line = vec![];
     while from.read_until(b'\n', &mut line)? > 0 {
--- a/src/cmd/status.rs
+++ b/src/cmd/status.rs
@@ -1,4 +1,4 @@
-//! Implements `status`.
+//! Implements `status`, which shows the state of nodes.
 
 use std::net::SocketAddr;
 use std::time::Duration;
