--- a/components/telemetry/src/metrics.rs
+++ b/components/telemetry/src/metrics.rs
@@ -1,4 +1,5 @@
-//! Records the counters, gauges and histograms of one router, and renders them in the Prometheus text format.
+//! Records the counters, gauges and histograms of one router, and renders them in the Prometheus text
+//! format.
 
 use std::cell::RefCell;
 use std::collections::BTreeSet;
