--- a/components/catalog/src/lib.rs
+++ b/components/catalog/src/lib.rs
@@ -1,14 +1,14 @@
-//! What is in force: routes, workspaces and services by one revision, the backend servers there
-//! are, and how long ago it was confirmed that nothing newer is in force.
+//! Holds what is in force: the routes, workspaces and services of one revision of the settings, the
+//! list of backend servers, and the time since it was last confirmed that nothing newer is in force.
 //!
-//! Nothing here touches a network or a clock; all time comes in as arguments.
+//! Nothing here uses a network or a clock; all times are arguments.
 
-mod book;
 mod freshness;
-mod roster;
+mod membership;
 mod route;
+mod settings;
 
-pub use book::{Book, Denied, Found};
 pub use freshness::Freshness;
-pub use roster::{Change, Entry, Roster};
-pub use route::{Intake, Kind, Route, Service, Split, Workspace};
+pub use membership::{Change, Entry, Membership};
+pub use route::{Kind, RequestLimits, Route, Service, Split, Workspace};
+pub use settings::{Denied, Match, Settings};
--- a/components/catalog/src/route.rs
+++ b/components/catalog/src/route.rs
@@ -1,87 +1,92 @@
+//! Defines routes, services and workspaces, and computes the tier and the service of a route's
+//! requests.
+
 use std::time::Duration;
 
-/// Ranks that are told apart within one rank of what goes before. Engines tell ten levels apart, which
-/// hold three ranks of routes with three of workspaces each.
-const RANKS: u8 = 3;
+/// Tiers that are distinguished of a route and of a workspace; lower tiers count as the last of them.
+/// Engines have ten priorities, enough for three tiers of routes times three of workspaces.
+const TIERS: u8 = 3;
 
 derives::data! {
-    /// What may be done with a request of a route a second time.
+    /// Whether and how often a request of a route may run.
     #[derive(Copy, Eq)]
     pub enum Kind {
         /// It may run more than once.
         Idempotent,
-        /// It may run once at most.
+        /// It must run at most once.
         AtMostOnce,
-        /// Its answer is a stream of numbered events.
+        /// Its response is a stream of numbered events.
         Stream {
-            /// Another backend server goes on after the last event that came, so it may run again.
+            /// Another backend server can continue the stream after the last event received, so the
+            /// request may run again.
             resumable: bool,
         },
     }
 
-    /// A part of a route's requests that goes to one service.
+    /// The share of a route's requests that goes to one service.
     pub struct Split {
         /// Name of the service.
         pub service: String,
-        /// Its part, against the sum of all weights of the route.
+        /// Its weight; the service gets this fraction of the sum of the route's weights.
         pub weight: u32,
     }
 
-    /// Which requests are served how.
+    /// Which requests a route takes, and how it serves them.
     pub struct Route {
-        /// Name, unique in a revision.
+        /// Name, unique in a revision of the settings.
         pub name: String,
-        /// Host that requests name, in lower case.
+        /// Host of the requests, in lower case.
         pub host: String,
-        /// Start of their path; begins and ends with a slash.
+        /// Prefix of their path; begins and ends with a slash.
         pub prefix: String,
-        /// What may be repeated.
+        /// Whether its requests may run again.
         pub kind: Kind,
-        /// Longest time that a caller is kept waiting for the end of its answer.
+        /// Time in which a response must have ended.
         pub timeout: Duration,
-        /// Time for the answer, of a stream for its first event, that callers hope for.
-        pub target: Duration,
-        /// Longest pause between the events of a stream that callers hope for.
-        pub pause: Option<Duration>,
-        /// Rank of its tier; 0 is the highest.
+        /// Target for the time to the response, or to the first event of a stream.
+        pub target_latency: Duration,
+        /// Target for the longest pause between the events of a stream.
+        pub target_pause: Option<Duration>,
+        /// Tier of its requests; 0 is the highest.
         pub tier: u8,
-        /// Where its requests go.
+        /// Services that its requests are distributed to.
         pub split: Vec<Split>,
-        /// Backend servers that one request may be sent to.
-        pub attempts: u8,
-        /// Asks for no key.
+        /// Backend servers that one request may be sent to, one after another.
+        pub max_attempts: u8,
+        /// Requests need no API key.
         pub public: bool,
     }
 
-    /// Backend servers that stand in for one another.
+    /// A group of interchangeable backend servers.
     pub struct Service {
-        /// Name.
+        /// Name, unique in a revision of the settings.
         pub name: String,
         /// Tokens in one event of a stream.
-        pub event_tokens: u32,
-        /// Tokens of prompts that one engine takes over from another in a second; none where it can't.
-        pub fetch_tokens: Option<f64>,
+        pub tokens_per_event: u32,
+        /// Prompt tokens per second whose cached state one engine can fetch from another; `None` if its
+        /// engines can't.
+        pub fetch_tokens_per_second: Option<f64>,
     }
 
-    /// Who calls.
+    /// A workspace that callers belong to.
     pub struct Workspace {
         /// Name.
         pub name: String,
-        /// Rank of the tier of its requests; the route's own where there is none.
+        /// Tier of its requests; 0 is the highest. The route's tier applies if it is `None`.
         pub tier: Option<u8>,
     }
 
-    /// Limits on what a caller may send, and how long it may take.
+    /// Limits on the size of a request and on the time to send it.
     #[derive(Copy, Eq)]
-    pub struct Intake {
+    pub struct RequestLimits {
         /// Largest head of a request in bytes.
-        pub head: usize,
+        pub max_head: usize,
         /// Largest body in bytes.
-        pub body: usize,
+        pub max_body: usize,
         /// Time to send a head.
-        pub head_time: Duration,
-        /// Time that a connection may stand idle.
-        pub idle: Duration,
+        pub head_timeout: Duration,
+        /// Time that a connection may stay idle.
+        pub idle_timeout: Duration,
     }
 }
 
@@ -89,38 +94,39 @@
     /// Whether a request may run more than once.
     ///
     /// ```
-    /// assert!(!catalog::Kind::Stream { resumable: false }.repeatable());
+    /// assert!(!catalog::Kind::Stream { resumable: false }.is_repeatable());
     /// ```
-    pub fn repeatable(self) -> bool {
+    pub fn is_repeatable(self) -> bool {
         matches!(self, Kind::Idempotent | Kind::Stream { resumable: true })
     }
 
-    /// Whether its answer is a stream.
+    /// Whether its response is a stream.
     ///
     /// ```
-    /// assert!(!catalog::Kind::Idempotent.streams());
+    /// assert!(!catalog::Kind::Idempotent.is_stream());
     /// ```
-    pub fn streams(self) -> bool {
+    pub fn is_stream(self) -> bool {
         matches!(self, Kind::Stream { .. })
     }
 }
 
 impl Route {
-    /// Rank of the tier of requests whose workspace has the rank `workspace`; see [`crate::Found`].
-    pub fn tier_of(&self, workspace: u8) -> u8 {
-        ranked(workspace, self.tier)
+    /// Tier of requests whose workspace has the tier `workspace`; see [`crate::Match::tier`].
+    pub fn tier_for(&self, workspace: u8) -> u8 {
+        combine(workspace, self.tier)
     }
 
-    /// Rank of such requests among those at one engine.
-    pub fn urgency_of(&self, workspace: u8) -> u8 {
-        ranked(self.tier, workspace)
+    /// Priority of such requests at an engine; see [`crate::Match::priority`].
+    pub fn priority_for(&self, workspace: u8) -> u8 {
+        combine(self.tier, workspace)
     }
 
-    /// The service that a request goes to; requests with the same `session` go to the same one
-    /// while the weights stay, so that what an engine has cached of a session is found again.
+    /// The service that a request goes to; `None` if the sum of the weights is 0. Requests with the
+    /// same `session` go to the same service as long as the weights stay, so that they find the
+    /// prefixes that an engine has cached for the session.
     pub fn service(&self, session: u64) -> Option<&str> {
         let total: u64 = self.split.iter().map(|split| u64::from(split.weight)).sum();
-        let mut point = mixed(session).checked_rem(total)?;
+        let mut point = hash_session(session).checked_rem(total)?;
         for split in &self.split {
             match point.checked_sub(u64::from(split.weight)) {
                 Some(rest) => point = rest,
@@ -131,10 +137,11 @@
     }
 }
 
-fn ranked(first: u8, second: u8) -> u8 {
-    first.saturating_mul(RANKS).saturating_add(second.min(RANKS - 1))
+/// A tier that orders by `first`, then by `second`.
+fn combine(first: u8, second: u8) -> u8 {
+    first.saturating_mul(TIERS).saturating_add(second.min(TIERS - 1))
 }
 
-fn mixed(session: u64) -> u64 {
+fn hash_session(session: u64) -> u64 {
     xxhash_rust::xxh3::xxh3_64(&session.to_le_bytes())
 }
--- a/components/configuration/src/client.rs
+++ b/components/configuration/src/client.rs
@@ -1,34 +1,37 @@
+//! Reads the configuration service and the list of VMs over HTTP.
+
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use crate::wire::{MANIFEST, Manifest, VALUES, VMS, Vm, digest};
+use crate::wire::{MANIFEST_PATH, Manifest, VALUE_PATH, VMS_PATH, Vm, digest};
 
-/// A read answers in milliseconds when the service is well; past this it counts as down.
-pub(crate) const READ: Duration = Duration::from_secs(2);
-/// A watch returns after this even if nothing changed, so that a dead connection is noticed.
-pub(crate) const WATCH: Duration = Duration::from_secs(30);
-/// The largest value that the service holds.
-const LARGEST: usize = 1 << 20;
+/// Timeout of a read. A healthy service answers in milliseconds; one that takes longer than this
+/// counts as unavailable.
+pub(crate) const READ_TIMEOUT: Duration = Duration::from_secs(2);
+/// Time after which a watch returns even if nothing changed, so that a dead connection is noticed.
+pub(crate) const WATCH_DURATION: Duration = Duration::from_secs(30);
+/// Largest value that the service stores.
+const MAX_VALUE_BYTES: usize = 1 << 20;
 
-/// Why a read of the platform failed.
+/// Why a read of the service, of a peer or of the list failed.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// No answer.
+    /// The service didn't answer.
     #[error("the {service} at {address} gives no answer ({cause}); the last good state stays")]
-    Down {
-        /// Which service.
+    Unavailable {
+        /// Name of the service in messages.
         service: &'static str,
-        /// Where it was sought.
+        /// Address that was tried.
         address: SocketAddr,
-        /// What the connection said.
+        /// Error of the connection.
         cause: String,
     },
-    /// An answer that can't be used.
+    /// The service's response can't be used.
     #[error("the {service} answered {what}; check what is published there")]
-    Garbled {
-        /// Which service.
+    Malformed {
+        /// Name of the service in messages.
         service: &'static str,
-        /// What was wrong.
+        /// What is wrong with the response.
         what: String,
     },
 }
@@ -38,7 +41,7 @@
     pub(crate) service: &'static str,
     pub(crate) address: SocketAddr,
     pub(crate) http: awc::Client,
-    /// Header that shows who asks, where that is wanted.
+    /// Header and secret that authenticate the caller, if the service asks for them.
     pub(crate) secret: Option<(&'static str, String)>,
 }
 
@@ -47,91 +50,106 @@
         Client { service, address, http: awc::Client::default(), secret: None }
     }
 
-    pub(crate) fn down(&self, cause: impl ToString) -> Error {
-        Error::Down { service: self.service, address: self.address, cause: cause.to_string() }
+    pub(crate) fn unavailable(&self, cause: impl ToString) -> Error {
+        Error::Unavailable {
+            service: self.service,
+            address: self.address,
+            cause: cause.to_string(),
+        }
     }
 
-    pub(crate) fn garbled(&self, what: impl ToString) -> Error {
-        Error::Garbled { service: self.service, what: what.to_string() }
+    pub(crate) fn malformed(&self, what: impl ToString) -> Error {
+        Error::Malformed { service: self.service, what: what.to_string() }
     }
 
-    pub(crate) async fn get(&self, path: &str, within: Duration) -> Result<Option<Vec<u8>>, Error> {
+    /// Gets the body at `path`; `None` if the service answers that nothing changed.
+    pub(crate) async fn get(
+        &self,
+        path: &str,
+        timeout: Duration,
+    ) -> Result<Option<Vec<u8>>, Error> {
         let url = format!("http://{}{path}", self.address);
-        let mut request = self.http.get(url).timeout(within);
+        let mut request = self.http.get(url).timeout(timeout);
         if let Some((name, secret)) = &self.secret {
             request = request.insert_header((*name, secret.clone()));
         }
-        let mut response = request.send().await.map_err(|e| self.down(e))?;
+        let mut response = request.send().await.map_err(|e| self.unavailable(e))?;
         match response.status().as_u16() {
             200 => {
-                let body = response.body().limit(LARGEST).await.map_err(|e| self.down(e))?;
+                let body = response
+                    .body()
+                    .limit(MAX_VALUE_BYTES)
+                    .await
+                    .map_err(|e| self.unavailable(e))?;
                 Ok(Some(body.to_vec()))
             }
             304 => Ok(None),
-            status => Err(self.garbled(format!("status {status}"))),
+            status => Err(self.malformed(format!("status {status}"))),
         }
     }
 
-    /// The value with a digest, checked against it.
-    pub(crate) async fn value(&self, under: &str, wanted: &str) -> Result<String, Error> {
-        let body = self.get(&format!("{under}{wanted}"), READ).await?;
-        let text = String::from_utf8(body.unwrap_or_default()).map_err(|e| self.garbled(e))?;
-        if digest(&text) != wanted {
-            return Err(self.garbled(format!("a value that isn't {wanted}")));
+    /// Reads the value with the digest `expected` below `prefix`, and checks the digest.
+    pub(crate) async fn value(&self, prefix: &str, expected: &str) -> Result<String, Error> {
+        let body = self.get(&format!("{prefix}{expected}"), READ_TIMEOUT).await?;
+        let text = String::from_utf8(body.unwrap_or_default()).map_err(|e| self.malformed(e))?;
+        if digest(&text) != expected {
+            return Err(self.malformed(format!("a value that isn't {expected}")));
         }
         Ok(text)
     }
 }
 
-/// Reader of the configuration service.
+/// A client of the configuration service.
 #[derive(Clone)]
 pub struct Configuration {
     client: Client,
 }
 
 impl Configuration {
-    /// A reader of the service at `address`.
+    /// A client of the service at `address`.
     pub fn new(address: SocketAddr) -> Self {
         Configuration { client: Client::new("configuration service", address) }
     }
 
-    /// The manifest once its revision is above `after`; none if nothing changed for a while.
+    /// Waits for a manifest with a revision above `after`; `None` if nothing changed for a while.
     pub async fn watch(&self, after: Option<u64>) -> Result<Option<Manifest>, Error> {
         let path = match after {
-            Some(after) => format!("{MANIFEST}?after={after}"),
-            None => MANIFEST.to_string(),
+            Some(after) => format!("{MANIFEST_PATH}?after={after}"),
+            None => MANIFEST_PATH.to_string(),
+        };
+        let Some(body) = self.client.get(&path, WATCH_DURATION + READ_TIMEOUT).await? else {
+            return Ok(None);
         };
-        let Some(body) = self.client.get(&path, WATCH + READ).await? else { return Ok(None) };
-        serde_json::from_slice(&body).map(Some).map_err(|e| self.client.garbled(e))
+        serde_json::from_slice(&body).map(Some).map_err(|e| self.client.malformed(e))
     }
 
-    /// The manifest as it is shown now.
+    /// Reads the current manifest.
     pub async fn read(&self) -> Result<Manifest, Error> {
-        let body = self.client.get(MANIFEST, READ).await?.unwrap_or_default();
-        serde_json::from_slice(&body).map_err(|e| self.client.garbled(e))
+        let body = self.client.get(MANIFEST_PATH, READ_TIMEOUT).await?.unwrap_or_default();
+        serde_json::from_slice(&body).map_err(|e| self.client.malformed(e))
     }
 
-    /// The value with a digest, checked against it.
-    pub async fn value(&self, wanted: &str) -> Result<String, Error> {
-        self.client.value(VALUES, wanted).await
+    /// Reads the value with the digest `expected` and checks the digest.
+    pub async fn value(&self, expected: &str) -> Result<String, Error> {
+        self.client.value(VALUE_PATH, expected).await
     }
 }
 
-/// Reader of the list of VMs.
+/// A client of the list of VMs.
 #[derive(Clone)]
-pub struct List {
+pub struct VmList {
     client: Client,
 }
 
-impl List {
-    /// A reader of the list at `address`.
+impl VmList {
+    /// A client of the list at `address`.
     pub fn new(address: SocketAddr) -> Self {
-        List { client: Client::new("VM list", address) }
+        VmList { client: Client::new("VM list", address) }
     }
 
-    /// The list as it is published now; it lags.
+    /// Reads the published list, which lags behind the VMs that exist.
     pub async fn read(&self) -> Result<Vec<Vm>, Error> {
-        let body = self.client.get(VMS, READ).await?.unwrap_or_default();
-        serde_json::from_slice(&body).map_err(|e| self.client.garbled(e))
+        let body = self.client.get(VMS_PATH, READ_TIMEOUT).await?.unwrap_or_default();
+        serde_json::from_slice(&body).map_err(|e| self.client.malformed(e))
     }
 }
--- a/components/configuration/src/lib.rs
+++ b/components/configuration/src/lib.rs
@@ -1,11 +1,13 @@
-//! The interface to the platform: the configuration service, which can be read and watched, and
-//! the list of VMs. The wire forms stand in [`wire`]; another form changes only that module and
-//! the two clients. [`spread`] decides who reads the service and who hears from a [`peer`].
+//! Reads the configuration service, which can be watched, and the list of VMs.
+//!
+//! The wire formats are in [`wire`]; a service with another format needs a change only there and in
+//! the two clients. [`topology`] decides which nodes read the service and which of them read from a
+//! [`peer`].
 
 mod client;
 pub mod peer;
-pub mod spread;
+pub mod topology;
 pub mod wire;
 
-pub use client::{Configuration, Error, List};
+pub use client::{Configuration, Error, VmList};
 pub use peer::Peer;
--- a/components/configuration/src/peer.rs
+++ b/components/configuration/src/peer.rs
@@ -1,62 +1,64 @@
-//! Settings heard from a peer: the same manifest and values as the service has, and what changed
-//! since the revision that the asker holds, so that a change costs its own size and not the tree's.
+//! Reads settings from a peer: the same manifest and values as the service has, or only what changed
+//! since the revision that the caller has, so that a change costs its own size and not that of all
+//! settings.
 
 use std::net::SocketAddr;
 
 use serde::{Deserialize, Serialize};
 
-use crate::client::{Client, Error, READ, WATCH};
+use crate::client::{Client, Error, READ_TIMEOUT, WATCH_DURATION};
 use crate::wire::Manifest;
 
-/// Path of the manifest; `?after=N&digest=D` waits until its revision is above `N`.
-pub const NEWS: &str = "/settings/manifest";
-/// Path under which values stand by their digest.
-pub const VALUES: &str = "/settings/value/";
-/// How long a peer holds a watch open; below the asker's own limit.
-pub const HOLD: std::time::Duration = std::time::Duration::from_secs(25);
+/// Path of the manifest; `?after=N&digest=D` waits until its revision is above `N`, and `&now`
+/// answers at once.
+pub const MANIFEST_PATH: &str = "/settings/manifest";
+/// Prefix of the paths of values; the digest follows.
+pub const VALUE_PATH: &str = "/settings/value/";
+/// Time that a peer keeps a watch open; less than the caller's own timeout.
+pub const WATCH_TIMEOUT: std::time::Duration = std::time::Duration::from_secs(25);
 
 derives::data! {
-    /// What a peer tells of its settings.
+    /// What a peer sends of its settings.
     #[derive(Serialize, Deserialize)]
     #[serde(rename_all = "lowercase")]
-    pub enum News {
-        /// All parts by digest.
+    pub enum Update {
+        /// All parts with their digests.
         Manifest(Manifest),
-        /// What changed since a revision that the asker holds.
+        /// What changed since the revision that the caller has.
         Delta(Delta),
     }
 
-    /// What changed between two revisions.
+    /// The difference between two revisions.
     #[derive(Serialize, Deserialize)]
     pub struct Delta {
         /// Number of the new revision.
         pub revision: u64,
-        /// Digest that the new revision must come to.
+        /// Digest that the new revision must have.
         pub digest: u64,
         /// Parts that are new or changed.
         pub changed: Vec<Changed>,
-        /// Names of parts that went.
+        /// Names of parts that were removed.
         pub gone: Vec<String>,
     }
 
-    /// A part that is new or changed.
+    /// A new or changed part.
     #[derive(Serialize, Deserialize)]
     pub struct Changed {
-        /// Its name.
+        /// Name of the part.
         pub name: String,
-        /// Its text.
+        /// Text of the part's value.
         pub text: String,
     }
 }
 
-/// Reader of one peer's settings.
+/// A client of one peer's settings.
 #[derive(Clone)]
 pub struct Peer {
     client: Client,
 }
 
 impl Peer {
-    /// A reader of the peer at `address`, who asks for the nodes' secret in a header.
+    /// A client of the peer at `address`, which checks the nodes' shared `secret` in `header`.
     pub fn new(
         http: awc::Client,
         address: SocketAddr,
@@ -67,28 +69,40 @@
         Peer { client: Client { service: "peer", address, http, secret } }
     }
 
-    /// Where it is.
+    /// The peer's address.
     pub fn address(&self) -> SocketAddr {
         self.client.address
     }
 
-    /// News once the peer's revision is above `after`; none if nothing changed for a while.
-    pub async fn watch(&self, after: u64, digest: u64) -> Result<Option<News>, Error> {
-        self.news(&format!("{NEWS}?after={after}&digest={digest:016x}"), WATCH + READ).await
+    /// Waits until the peer's revision is above `after`; `None` if nothing changed for a while.
+    pub async fn watch(&self, after: u64, digest: u64) -> Result<Option<Update>, Error> {
+        self.update(
+            &format!("{MANIFEST_PATH}?after={after}&digest={digest:016x}"),
+            WATCH_DURATION + READ_TIMEOUT,
+        )
+        .await
     }
 
-    /// What the peer has now if that is above `after`; at once.
-    pub async fn read(&self, after: u64, digest: u64) -> Result<Option<News>, Error> {
-        self.news(&format!("{NEWS}?after={after}&digest={digest:016x}&now"), READ).await
+    /// Reads what the peer has at present; `None` if its revision isn't above `after`.
+    pub async fn read(&self, after: u64, digest: u64) -> Result<Option<Update>, Error> {
+        self.update(
+            &format!("{MANIFEST_PATH}?after={after}&digest={digest:016x}&now"),
+            READ_TIMEOUT,
+        )
+        .await
     }
 
-    /// The value with a digest, checked against it.
-    pub async fn value(&self, wanted: &str) -> Result<String, Error> {
-        self.client.value(VALUES, wanted).await
+    /// Reads the value with the digest `expected` and checks the digest.
+    pub async fn value(&self, expected: &str) -> Result<String, Error> {
+        self.client.value(VALUE_PATH, expected).await
     }
 
-    async fn news(&self, path: &str, within: std::time::Duration) -> Result<Option<News>, Error> {
-        let Some(body) = self.client.get(path, within).await? else { return Ok(None) };
-        serde_json::from_slice(&body).map(Some).map_err(|e| self.client.garbled(e))
+    async fn update(
+        &self,
+        path: &str,
+        timeout: std::time::Duration,
+    ) -> Result<Option<Update>, Error> {
+        let Some(body) = self.client.get(path, timeout).await? else { return Ok(None) };
+        serde_json::from_slice(&body).map(Some).map_err(|e| self.client.malformed(e))
     }
 }
--- a/components/configuration/src/spread/tests.rs
+++ b/components/configuration/src/topology/tests.rs
@@ -21,31 +21,32 @@
 fn can_reach_each_node_from_the_watchers_in_few_hops() {
     for nodes in [1, 2, 3, 7, 94, 250] {
         let list = list(nodes);
-        let places: BTreeMap<_, _> = (0..nodes)
-            .map(|index| (address(index), place(&list, &format!("entry-{index}"), "riga-a")))
+        let positions: BTreeMap<_, _> = (0..nodes)
+            .map(|index| (address(index), position(&list, &format!("entry-{index}"), "riga-a")))
             .collect();
-        let watchers = places.values().filter(|place| **place == Place::Watcher).count();
+        let watchers =
+            positions.values().filter(|position| **position == Position::Watcher).count();
         assert_eq!(watchers, nodes.min(WATCHERS));
-        let mut heard: BTreeMap<SocketAddr, usize> = BTreeMap::new();
-        for mut at in places.keys() {
+        let mut followers: BTreeMap<SocketAddr, usize> = BTreeMap::new();
+        for mut at in positions.keys() {
             let mut hops = 0;
-            while let Place::Listener(ahead) = &places[at] {
+            while let Position::Follower(peers) = &positions[at] {
                 if hops == 0 {
-                    *heard.entry(ahead[0]).or_default() += 1;
+                    *followers.entry(peers[0]).or_default() += 1;
                 }
-                at = &ahead[0];
+                at = &peers[0];
                 hops += 1;
                 assert!(hops <= 7, "{nodes} nodes");
             }
         }
-        assert!(heard.values().all(|count| *count <= FAN));
+        assert!(followers.values().all(|count| *count <= FANOUT));
     }
 }
 
 #[test]
 fn can_go_on_when_a_watcher_leaves() {
-    // A watcher's VM is replaced. The list loses it, and another node of the domain must take its
-    // place, or the domain hears of no change until someone's rare direct read.
+    // A watcher's VM is replaced and leaves the list. Another node of the domain must take over as a
+    // watcher, or the domain gets no change until one of its nodes makes a rare direct read.
     let mut list = list(7);
     let before: BTreeSet<_> = watchers(&list);
     let gone = before.first().unwrap().clone();
@@ -57,13 +58,15 @@
 
 fn watchers(list: &[Vm]) -> BTreeSet<String> {
     let names = list.iter().filter(|vm| !vm.leaving).map(|vm| vm.name.clone());
-    names.filter(|name| place(list, name, "riga-a") == Place::Watcher).collect()
+    names.filter(|name| position(list, name, "riga-a") == Position::Watcher).collect()
 }
 
 #[test]
 fn can_start_before_being_listed() {
-    // A fresh VM isn't listed yet, since the list lags. It hears from the domain's watchers rather
-    // than become one more watcher.
-    let Place::Listener(ahead) = place(&list(7), "fresh", "riga-a") else { panic!("watches") };
-    assert_eq!(ahead.len(), WATCHERS);
+    // A new VM isn't listed yet, because the list lags. It must read from the domain's watchers and
+    // not become one more watcher.
+    let Position::Follower(peers) = position(&list(7), "fresh", "riga-a") else {
+        panic!("watches")
+    };
+    assert_eq!(peers.len(), WATCHERS);
 }
--- a/components/fakes/src/engine.rs
+++ b/components/fakes/src/engine.rs
@@ -135,7 +135,7 @@
 
     /// Cuts all connections and listens no more.
     pub fn crash(&self) {
-        self.listener.cut();
+        self.listener.abort();
     }
 }
 
--- a/components/fakes/src/lib.rs
+++ b/components/fakes/src/lib.rs
@@ -44,10 +44,10 @@
 
 /// Wide enough to stay out of a test's way.
 const LIMITS: listen::Limits = listen::Limits {
-    connections: 20_000,
-    head_time: Duration::from_secs(30),
+    max_connections: 20_000,
+    head_timeout: Duration::from_secs(30),
     keep_alive: Duration::from_secs(60),
-    slow_reader: Duration::from_secs(600),
+    write_timeout: Duration::from_secs(600),
 };
 
 fn status(code: u16) -> actix_http::StatusCode {
--- a/components/fakes/src/platform.rs
+++ b/components/fakes/src/platform.rs
@@ -7,7 +7,7 @@
 
 use actix_http::body::{BodySize, BoxBody, MessageBody};
 use actix_http::{Request, Response};
-use configuration::wire::{MANIFEST, Manifest, Part, VALUES, VMS, Vm, digest};
+use configuration::wire::{MANIFEST_PATH, Manifest, Part, VALUE_PATH, VMS_PATH, Vm, digest};
 use tokio::sync::watch;
 
 use crate::{LIMITS, any, status};
@@ -144,17 +144,17 @@
         return Response::new(status(503)).map_into_boxed_body();
     }
     let path = request.path();
-    if path == VMS {
+    if path == VMS_PATH {
         state.lists.set(state.lists.get() + 1);
         return json(&*state.vms.borrow());
     }
-    if let Some(digest) = path.strip_prefix(VALUES) {
+    if let Some(digest) = path.strip_prefix(VALUE_PATH) {
         return match state.values.borrow().get(digest) {
             Some(value) => Response::build(status(200)).body(value.clone()).map_into_boxed_body(),
             None => Response::new(status(404)).map_into_boxed_body(),
         };
     }
-    if path != MANIFEST {
+    if path != MANIFEST_PATH {
         return Response::new(status(404)).map_into_boxed_body();
     }
     let behind = match &*state.stale.borrow() {
--- a/components/forward/src/adapter.rs
+++ b/components/forward/src/adapter.rs
@@ -9,7 +9,7 @@
 
 use actix_http::header::HeaderMap;
 use actix_http::{RequestHead, ResponseHead};
-use catalog::{Book, Change, Entry};
+use catalog::{Change, Entry, Settings};
 pub use policy::Part;
 pub use wire::updates::Item;
 
@@ -138,7 +138,7 @@
 #[derive(Debug)]
 pub enum Record {
     /// A revision of the settings.
-    Settings(Book),
+    Settings(Settings),
     /// A revision of the settings that is invalid; the text says why.
     InvalidSettings(String),
     /// A change of a backend server.
--- a/components/forward/src/attempt.rs
+++ b/components/forward/src/attempt.rs
@@ -240,7 +240,7 @@
         reply.first = reply.next_chunk().await?;
         return Ok(Reply::Partial(Box::new(reply)));
     }
-    if success && received.route().kind.streams() {
+    if success && received.route().kind.is_stream() {
         return Err(AttemptError::Lost("the answer isn't a stream of events".to_string()));
     }
     let max_buffered =
@@ -295,7 +295,7 @@
         server,
         time_left: received.time_left(state),
         workspace: received.found.workspace.as_ref().map(|workspace| workspace.name.as_str()),
-        priority: received.found.urgency(),
+        priority: received.found.priority(),
         last_event_id,
         fetch_from: fetch_from.as_deref(),
     };
--- a/components/forward/src/follow.rs
+++ b/components/forward/src/follow.rs
@@ -102,7 +102,7 @@
 ) -> T {
     let mut step = std::pin::pin!(step);
     loop {
-        let left = state.roster.borrow().left(state.clock.now());
+        let left = state.membership.borrow().time_until_removal(state.clock.now());
         let Some(left) = left else { return step.await };
         match tokio::time::timeout(left, &mut step).await {
             Ok(done) => return done,
@@ -113,7 +113,7 @@
 
 /// Drops missing servers whose time to be listed again is over.
 fn expire_servers<A: Adapter>(state: &State<A>) {
-    let gone = state.roster.borrow_mut().expire(state.clock.now());
+    let gone = state.membership.borrow_mut().remove_lapsed(state.clock.now());
     state.apply_servers(gone);
 }
 
@@ -122,7 +122,7 @@
 fn doubt_missing_servers<A: Adapter>(state: &State<A>) {
     let unobserved = state.seeds_lost_store.get() && state.from_peer.get();
     if unobserved && state.switches.is_on(Mechanism::OutageGrace) {
-        state.roster.borrow_mut().away();
+        state.membership.borrow_mut().mark_unavailable();
     }
 }
 
@@ -137,7 +137,7 @@
 
 fn record_failure<A: Adapter>(state: &State<A>, source: Source, cause: &StoreError) {
     if source == Source::Store && state.switches.is_on(Mechanism::OutageGrace) {
-        state.roster.borrow_mut().away();
+        state.membership.borrow_mut().mark_unavailable();
     }
     if matches!(cause, StoreError::LostByPeer(_)) {
         state.seeds_lost_store.set(true);
@@ -183,7 +183,7 @@
     let position = state.replica.borrow().position().filter(|_| !state.history_lost.take());
     let Some(after) = position else {
         let Versioned { value, position } = state.adapter.store.list(list_limit).await?;
-        state.roster.borrow_mut().answered(state.clock.now());
+        state.membership.borrow_mut().mark_available(state.clock.now());
         let updates = state.replica.borrow_mut().replace(value, position);
         apply_items(state, updates);
         confirm_freshness(state, asked);
@@ -202,7 +202,7 @@
             return Ok(Duration::ZERO);
         }
     };
-    state.roster.borrow_mut().answered(state.clock.now());
+    state.membership.borrow_mut().mark_available(state.clock.now());
     let waited = state.clock.boot_time().saturating_sub(asked);
     let has_changes = !value.is_empty();
     let updates = state.replica.borrow_mut().apply(value, position);
@@ -239,9 +239,12 @@
     }
     match update.store_returned_ms.map(|ago| Duration::from_millis(ago.into())) {
         Some(ago) if state.switches.is_on(Mechanism::OutageGrace) => {
-            state.roster.borrow_mut().doubt(now.checked_sub(ago).unwrap_or(now));
+            state
+                .membership
+                .borrow_mut()
+                .mark_unavailable_until(now.checked_sub(ago).unwrap_or(now));
         }
-        _ => state.roster.borrow_mut().answered(now),
+        _ => state.membership.borrow_mut().mark_available(now),
     }
     state.set_fleet_work(update.work);
     let garbled = |cause: wire::Error| StoreError::Malformed(cause.to_string());
@@ -295,7 +298,7 @@
                 state.newest_invalid.set(true);
             }
             Some(Record::Server(change)) => {
-                let changed = state.roster.borrow_mut().apply(change, state.clock.now());
+                let changed = state.membership.borrow_mut().apply(change, state.clock.now());
                 state.apply_servers(changed);
             }
             None => {}
--- a/components/forward/src/gossip.rs
+++ b/components/forward/src/gossip.rs
@@ -201,11 +201,11 @@
 /// Answers the report of a node or another seed.
 pub(crate) async fn handle<A: Adapter>(state: &Rc<State<A>>, mut request: Request) -> Answer {
     let from_seed = request.path() == SEED_PATH;
-    let body = match listen::whole(&mut request, MAX_REPORT_BYTES).await {
+    let body = match listen::read_body(&mut request, MAX_REPORT_BYTES).await {
         Ok(body) => body,
-        Err(unread) => return unread.answer(),
+        Err(unread) => return unread.response(),
     };
-    listen::received(&request);
+    listen::mark_body_received(&request);
     let Ok(mut report) = Report::decode(&body) else {
         return Response::new(StatusCode::BAD_REQUEST).map_into_boxed_body();
     };
--- a/components/forward/src/intake.rs
+++ b/components/forward/src/intake.rs
@@ -5,7 +5,7 @@
 
 use actix_http::Request;
 use bytes::{Bytes, BytesMut};
-use catalog::{Book, Denied, Found};
+use catalog::{Denied, Match, Settings};
 use clock::Clock;
 use futures_util::StreamExt;
 use xxhash_rust::xxh3::xxh3_64;
@@ -28,7 +28,7 @@
     pub(crate) head: Request,
     pub(crate) body: Bytes,
     /// Its route and workspace.
-    pub(crate) found: Found,
+    pub(crate) found: Match,
     /// Revision of the settings by which it is served.
     pub(crate) revision: u64,
     pub(crate) arrived: Timestamp,
@@ -56,7 +56,7 @@
 
     /// Proof that the request may run more than once, if its route allows that.
     pub(crate) fn repeatable(&self) -> Option<lifecycle::Repeatable> {
-        lifecycle::Repeatable::if_idempotent(self.route().kind.repeatable())
+        lifecycle::Repeatable::if_idempotent(self.route().kind.is_repeatable())
     }
 }
 
@@ -76,7 +76,7 @@
     let time_limit = call.timeout.min(found.route.timeout);
     let body = tokio::time::timeout(time_limit, read_body(state, &mut head, &settings, open)).await;
     let body = body.map_err(|_| Error::BodyTimeout)??;
-    listen::received(&head);
+    listen::mark_body_received(&head);
     if call.prompt.tokens > 0 {
         state.crossing.record_sent(body.len(), state.clock.now());
     }
@@ -87,7 +87,7 @@
 }
 
 /// Hash of the request's content and workspace.
-fn fingerprint(head: &Request, call: &Call, found: &Found, body: &[u8]) -> u64 {
+fn fingerprint(head: &Request, call: &Call, found: &Match, body: &[u8]) -> u64 {
     let workspace = found.workspace.as_ref().map_or("", |workspace| &workspace.name);
     let target = head.uri().path_and_query().map_or(call.path.as_str(), |target| target.as_str());
     let texts = [workspace, head.method().as_str(), &call.host, target].map(str::as_bytes);
@@ -98,7 +98,7 @@
 /// The settings in force; waits for them at a node that is starting, which receives them within some
 /// tens of milliseconds. If it refused requests at once, callers that retry once or twice would use up
 /// their retries, all of them at the same time after a power loss of all nodes.
-async fn wait_for_settings<A: Adapter>(state: &State<A>) -> Option<Rc<Book>> {
+async fn wait_for_settings<A: Adapter>(state: &State<A>) -> Option<Rc<Settings>> {
     let settings = || state.settings.borrow().clone();
     let read = async {
         while !state.loaded.get() || settings().is_none() {
@@ -111,24 +111,28 @@
 
 /// Finds the route and workspace of a call. If the settings may be out of date, calls can't be denied
 /// by them, nor can keys be accepted.
-fn find_route<A: Adapter>(state: &State<A>, settings: &Book, call: &Call) -> Result<Found, Error> {
+fn find_route<A: Adapter>(
+    state: &State<A>,
+    settings: &Settings,
+    call: &Call,
+) -> Result<Match, Error> {
     let found = settings.find(&call.host, &call.path, call.key.as_deref());
     let fresh = state.is_fresh();
     match found {
         Ok(found) if found.workspace.is_none() || fresh => Ok(found),
-        Err(Denied::Route) if fresh => Err(Error::NoRoute),
-        Err(Denied::Key) if fresh => Err(Error::UnknownKey),
+        Err(Denied::NoRoute) if fresh => Err(Error::NoRoute),
+        Err(Denied::UnknownKey) if fresh => Err(Error::UnknownKey),
         Ok(_) | Err(_) => Err(Error::SettingsTooOld),
     }
 }
 
 /// Refuses a request whose head, or whose announced body, is too large.
-fn check_sizes(request: &Request, settings: &Book) -> Result<(), Error> {
-    if listen::head(request) > settings.intake.head {
-        return Err(Error::HeadTooLarge(settings.intake.head));
+fn check_sizes(request: &Request, settings: &Settings) -> Result<(), Error> {
+    if listen::head_size(request) > settings.limits.max_head {
+        return Err(Error::HeadTooLarge(settings.limits.max_head));
     }
-    if listen::announced(request).is_some_and(|length| length > settings.intake.body) {
-        return Err(Error::BodyTooLarge(settings.intake.body));
+    if listen::content_length(request).is_some_and(|length| length > settings.limits.max_body) {
+        return Err(Error::BodyTooLarge(settings.limits.max_body));
     }
     Ok(())
 }
@@ -137,7 +141,7 @@
 async fn read_body<A: Adapter>(
     state: &State<A>,
     request: &mut Request,
-    settings: &Book,
+    settings: &Settings,
     open: &mut OpenRequest<A>,
 ) -> Result<Bytes, Error> {
     let max_bytes = (state.node().room.memory_mb << 20) / BODY_MEMORY_DIVISOR;
@@ -146,8 +150,8 @@
     while let Some(bytes) = payload.next().await {
         let broken = |_| Error::Malformed("its body ends early or isn't well formed".to_string());
         let bytes = bytes.map_err(broken)?;
-        if body.len() + bytes.len() > settings.intake.body {
-            return Err(Error::BodyTooLarge(settings.intake.body));
+        if body.len() + bytes.len() > settings.limits.max_body {
+            return Err(Error::BodyTooLarge(settings.limits.max_body));
         }
         open.add_body_bytes(bytes.len());
         if state.body_bytes.get() as u64 > max_bytes {
@@ -161,9 +165,9 @@
 /// The request as the scheduler needs it.
 fn scheduler_request<A: Adapter>(
     state: &State<A>,
-    settings: &Book,
+    settings: &Settings,
     call: &Call,
-    found: &Found,
+    found: &Match,
     arrived: Timestamp,
     time_limit: Duration,
 ) -> Result<policy::Request, Error> {
@@ -186,7 +190,7 @@
         max_tokens: call.prompt.max_tokens,
         arrived: arrived.at,
         deadline: state.clock.now() + time_left,
-        idempotent: found.route.kind.repeatable(),
+        idempotent: found.route.kind.is_repeatable(),
         region: state.region,
     })
 }
--- a/components/forward/src/lib.rs
+++ b/components/forward/src/lib.rs
@@ -66,15 +66,15 @@
         let shared = state.clone();
         let handler = move |request| serve::handle(shared.clone(), request);
         let limits = state.listener_limits.subscribe();
-        let callers = Listener::open_for("callers", callers, limits, handler).await?;
+        let callers = Listener::open_named("callers", callers, limits, handler).await?;
         let shared = state.clone();
         let handler = move |request| operators::handle(shared.clone(), request);
         let own = watch::channel(Limits::default()).1;
-        let operators = Listener::open_for("operators", operators, own, handler).await?;
+        let operators = Listener::open_named("operators", operators, own, handler).await?;
         let shared = state.clone();
         let handler = move |request| updates::handle(shared.clone(), request);
         let own = watch::channel(Limits::default()).1;
-        let peers = Listener::open_for("peers", peers, own, handler).await?;
+        let peers = Listener::open_named("peers", peers, own, handler).await?;
         let disabled = state.node().disabled.join(", ");
         if !disabled.is_empty() {
             log::warn!(without = disabled.as_str(); "mechanisms are disabled");
@@ -148,7 +148,7 @@
         for id in aborted.iter().take(LOGGED_ABORTS) {
             log::warn!(request = id.as_str(); "cut");
         }
-        self.callers.cut();
+        self.callers.abort();
         aborted
     }
 }
--- a/components/forward/src/proof/tests.rs
+++ b/components/forward/src/proof/tests.rs
@@ -188,7 +188,7 @@
     let mut freshness = Freshness::new(time_at(BOUND).mul_f64(0.97));
     let Some(proof) = node.proof.filter(|_| !node.suspended) else { return false };
     freshness.confirm(time_at(proof));
-    freshness.holds(time_at(now))
+    freshness.is_fresh(time_at(now))
 }
 
 fn all_steps() -> Vec<Step> {
--- a/components/forward/src/registry.rs
+++ b/components/forward/src/registry.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use catalog::{Book, Entry, Found, Route};
+use catalog::{Entry, Match, Route, Settings};
 use policy::Scheduler;
 use slotmap::SlotMap;
 use xxhash_rust::xxh3::xxh3_64;
@@ -146,8 +146,8 @@
     pub(crate) fn class_and_workspace(
         &mut self,
         scheduler: &mut Scheduler,
-        settings: &Book,
-        found: &Found,
+        settings: &Settings,
+        found: &Match,
     ) -> (ids::Class, ids::Workspace) {
         let (route, tier) = (&found.route, found.workspace_tier());
         let name = (route.name.clone(), tier);
@@ -176,7 +176,7 @@
 
     /// Applies a new revision of the settings: updates the classes, and removes those whose route is
     /// gone.
-    pub(crate) fn apply_settings(&mut self, scheduler: &mut Scheduler, settings: &Book) {
+    pub(crate) fn apply_settings(&mut self, scheduler: &mut Scheduler, settings: &Settings) {
         self.apply_fetch_rates(scheduler, settings);
         let routes: HashMap<&str, &Rc<Route>> =
             settings.routes().map(|route| (route.name.as_str(), route)).collect();
@@ -198,9 +198,9 @@
 
 impl Registry {
     /// Updates how fast engines copy cached prompts from each other, if the settings changed it.
-    fn apply_fetch_rates(&mut self, scheduler: &mut Scheduler, settings: &Book) {
+    fn apply_fetch_rates(&mut self, scheduler: &mut Scheduler, settings: &Settings) {
         let rate = |(name, service): (&String, &catalog::Service)| {
-            Some((name.clone(), service.fetch_tokens?))
+            Some((name.clone(), service.fetch_tokens_per_second?))
         };
         let fetch_rates: HashMap<_, _> = settings.services.iter().filter_map(rate).collect();
         if fetch_rates == self.fetch_rates {
@@ -228,17 +228,17 @@
 }
 
 /// The scheduler's description of the class of a route's requests from workspaces of one tier.
-fn class_terms(route: &Route, workspace_tier: u8, settings: &Book) -> policy::Class {
+fn class_terms(route: &Route, workspace_tier: u8, settings: &Settings) -> policy::Class {
     let service = route.split.first().and_then(|split| settings.services.get(&split.service));
-    let event_tokens = service.map_or(1, |service| service.event_tokens.max(1));
+    let event_tokens = service.map_or(1, |service| service.tokens_per_event.max(1));
     policy::Class {
-        tier: route.tier_of(workspace_tier),
-        priority: route.urgency_of(workspace_tier),
+        tier: route.tier_for(workspace_tier),
+        priority: route.priority_for(workspace_tier),
         weight: 1,
-        first_token: route.target,
-        token_interval: route.pause.unwrap_or(route.target) / event_tokens,
+        first_token: route.target_latency,
+        token_interval: route.target_pause.unwrap_or(route.target_latency) / event_tokens,
         longest_wait: LONGEST_WAIT,
         queue: QUEUE_LIMIT,
-        attempts: route.attempts,
+        attempts: route.max_attempts,
     }
 }
--- a/components/forward/src/serve.rs
+++ b/components/forward/src/serve.rs
@@ -189,9 +189,9 @@
         last_event_id: Option<u64>,
     ) -> Result<Reply, AttemptError> {
         let time_left = self.received.time_left(&self.state);
-        let may_retry = number < u32::from(self.received.route().attempts);
+        let may_retry = number < u32::from(self.received.route().max_attempts);
         let early = may_retry && self.received.repeatable().is_some();
-        let stalled = self.received.route().target * STALL_TARGETS;
+        let stalled = self.received.route().target_latency * STALL_TARGETS;
         let timeout = if early { time_left.min(stalled) } else { time_left };
         let fetch = self.stats.expected.and_then(|expected| expected.fetch);
         let fetch_from = fetch.and_then(|key| self.state.registry.borrow().server(key).cloned());
@@ -225,7 +225,7 @@
 
     /// Whether a server is listed and isn't shutting down, so that it has crashed if it doesn't run.
     fn should_be_running(&self, server: &str) -> bool {
-        self.state.roster.borrow().get(server).is_some_and(|entry| !entry.leaving)
+        self.state.membership.borrow().get(server).is_some_and(|entry| !entry.leaving)
     }
 
     /// Logs and counts the outcome of the request.
@@ -252,7 +252,7 @@
             fetched = expected.map(|expected| expected.fetch.is_some()),
             prompt = received.request.prompt_tokens, tokens = tokens,
             most_tokens = received.request.max_tokens, guess = received.call.prompt.length_hint,
-            target_ms = millis(route_terms.target), bears_ms = route_terms.pause.map(millis),
+            target_ms = millis(route_terms.target_latency), bears_ms = route_terms.target_pause.map(millis),
             limit_ms = millis(received.time_limit),
             revision = received.revision, age_ms = self.state.proof_age_ms(); "ended"
         );
--- a/components/forward/src/state.rs
+++ b/components/forward/src/state.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-use catalog::{Book, Freshness, Roster};
+use catalog::{Freshness, Membership, Settings};
 use clock::Clock;
 use driver::{Crashes, Driver};
 use http_client::{Pool, PoolLimits};
@@ -65,9 +65,9 @@
     pub(crate) crashes: Rc<Crashes>,
     pub(crate) registry: RefCell<Registry>,
     /// The settings in force; none before the first were read.
-    pub(crate) settings: RefCell<Option<Rc<Book>>>,
+    pub(crate) settings: RefCell<Option<Rc<Settings>>>,
     pub(crate) freshness: RefCell<Freshness>,
-    pub(crate) roster: RefCell<Roster>,
+    pub(crate) membership: RefCell<Membership>,
     /// The newest revision of the settings is invalid, so an older one is in force.
     pub(crate) newest_invalid: Cell<bool>,
     /// Consecutive failed reads of the store or of a peer in its place.
@@ -129,7 +129,7 @@
         let mut registry = Registry::default();
         let region = registry.region_key(node.region());
         let listener_limits = listen::Limits {
-            connections: (node.room.descriptors / 2) as usize,
+            max_connections: (node.room.descriptors / 2) as usize,
             ..listen::Limits::default()
         };
         let gossip = Gossip::new(rand::random(), node.room.link_bytes_per_second());
@@ -143,7 +143,7 @@
             crashes: Crashes::new(seed, clock),
             registry: RefCell::new(registry),
             settings: RefCell::default(),
-            roster: RefCell::default(),
+            membership: RefCell::default(),
             newest_invalid: Cell::new(false),
             store_failures: Cell::new(0),
             from_peer: Cell::new(false),
@@ -181,9 +181,9 @@
 
     /// Applies the node's own settings after they were read again, except for its addresses.
     pub(crate) fn reload(&self, node: Node) {
-        self.freshness.borrow_mut().set_bound(node.max_proof_age());
+        self.freshness.borrow_mut().set_max_age(node.max_proof_age());
         *self.node.borrow_mut() = Rc::new(node);
-        let all = self.roster.borrow().iter().map(|entry| entry.name.clone()).collect();
+        let all = self.membership.borrow().iter().map(|entry| entry.name.clone()).collect();
         self.apply_servers(all);
     }
 
@@ -256,7 +256,7 @@
 
     /// Whether the proof that the settings are the newest is young enough to accept keys.
     pub(crate) fn is_fresh(&self) -> bool {
-        self.freshness.borrow().holds(self.clock.boot_time())
+        self.freshness.borrow().is_fresh(self.clock.boot_time())
     }
 
     /// Age of the proof that the settings are the newest, in ms; none without a proof.
@@ -299,7 +299,7 @@
     }
 
     /// Puts a revision of the settings in force if it is newer than the current one.
-    pub(crate) fn apply_settings(&self, settings: Book) {
+    pub(crate) fn apply_settings(&self, settings: Settings) {
         let last = self.settings.borrow().as_ref().map(|last| last.revision);
         if last.is_some_and(|last| last >= settings.revision) {
             return;
@@ -309,9 +309,9 @@
             .borrow_mut()
             .apply_settings(&mut self.driver.scheduler.borrow_mut(), &settings);
         self.listener_limits.send_modify(|limits| {
-            limits.head_time = settings.intake.head_time;
+            limits.head_timeout = settings.limits.head_timeout;
             // Callers reuse connections that were idle for nearly as long as this allows.
-            limits.keep_alive = settings.intake.idle;
+            limits.keep_alive = settings.limits.idle_timeout;
         });
         log::info!(
             revision = settings.revision, last = last, routes = settings.routes().count();
@@ -328,11 +328,11 @@
         if servers.is_empty() {
             return;
         }
-        let roster = self.roster.borrow();
+        let membership = self.membership.borrow();
         let mut registry = self.registry.borrow_mut();
         let mut scheduler = self.driver.scheduler.borrow_mut();
         for name in servers {
-            match roster.get(&name) {
+            match membership.get(&name) {
                 Some(entry) => {
                     log::info!(
                         server = name.as_str(), service = entry.service.as_str(),
@@ -348,7 +348,7 @@
                 }
             }
         }
-        drop((roster, registry, scheduler));
+        drop((membership, registry, scheduler));
         limits::apply_to_scheduler(self);
         self.driver.run_actions();
     }
--- a/components/forward/src/stream.rs
+++ b/components/forward/src/stream.rs
@@ -75,7 +75,7 @@
             return Err(AttemptError::TimedOut);
         }
         let repeatable = self.active.received.repeatable().is_some();
-        let stalled = stall_after(self.active.received.route().pause);
+        let stalled = stall_after(self.active.received.route().target_pause);
         let timeout = if repeatable { time_left.min(stalled) } else { time_left };
         tokio::time::timeout(timeout, reply.next_chunk())
             .await
@@ -90,7 +90,7 @@
             let services = settings.as_ref().map(|settings| &settings.services);
             let service = server.as_ref().map(|server| &server.service);
             let service = services.zip(service).and_then(|(all, name)| all.get(name));
-            let tokens = chunk.events * service.map_or(1, |service| service.event_tokens);
+            let tokens = chunk.events * service.map_or(1, |service| service.tokens_per_event);
             self.tokens += tokens;
             stats.tokens += tokens;
             submission.record_tokens(tokens);
--- a/components/forward/src/updates.rs
+++ b/components/forward/src/updates.rs
@@ -127,11 +127,11 @@
     if request.method() != Method::POST || ![UPDATES_PATH, WORK_PATH].contains(&path.as_str()) {
         return status(StatusCode::NOT_FOUND);
     }
-    let body = match listen::whole(&mut request, MAX_REQUEST_BYTES).await {
+    let body = match listen::read_body(&mut request, MAX_REQUEST_BYTES).await {
         Ok(body) => body,
-        Err(unread) => return unread.answer(),
+        Err(unread) => return unread.response(),
     };
-    listen::received(&request);
+    listen::mark_body_received(&request);
     let Ok(ask) = UpdateRequest::decode(&body) else { return status(StatusCode::BAD_REQUEST) };
     let now = state.clock.now();
     if path == WORK_PATH {
@@ -195,7 +195,11 @@
         age_ms: state.proof_age_ms().map(|age| age.try_into().unwrap_or(u32::MAX)),
         waited_ms: state.clock.boot_time().saturating_sub(asked).as_millis() as u32,
         store_lost: state.store_failures.get() > 0,
-        store_returned_ms: state.roster.borrow().returned(now).map(|ago| ago.as_millis() as u32),
+        store_returned_ms: state
+            .membership
+            .borrow()
+            .time_since_return(now)
+            .map(|ago| ago.as_millis() as u32),
         work: state.fleet_work(),
     };
     let mut response = Response::build(StatusCode::OK);
--- a/components/listen/src/accept.rs
+++ b/components/listen/src/accept.rs
@@ -1,4 +1,4 @@
-//! Takes connections in and carries each in a task of its own.
+//! Accepts connections and drives each in a task of its own.
 
 use std::convert::Infallible;
 use std::future::Future;
@@ -15,28 +15,30 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::sync::watch;
 
-use crate::body::Tracked;
-use crate::conn::{Active, Conn};
+use crate::connection::{ActiveRequest, Connection};
 use crate::io::Io;
+use crate::response::TrackedBody;
 use crate::{Limits, State, error};
 
-/// Accepting again at once after an error such as too many open files would spin.
-const AFTER_ERROR: Duration = Duration::from_millis(50);
-/// Time to go on reading from a caller that was answered before it had sent all. Closing at once
-/// resets the connection, and the caller may never see the answer.
+/// Pause after a failed accept. Errors such as too many open files persist, so that accepting again
+/// at once would be a busy loop.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
+/// Time to go on reading from a caller that was answered before it had sent its whole request.
+/// Closing at once resets the connection, and the caller may never see the response.
 const LINGER: Duration = Duration::from_secs(1);
-/// Time that a connection is served on before it is closed as idle: a request that has arrived and
-/// wasn't read yet would be lost with it.
-const SETTLE: Duration = Duration::from_millis(5);
-/// Connections above the limit that are told so at once; further ones are closed without a word.
-const TOLD: usize = 64;
+/// Time that a connection is still served before it is closed as idle. Without it a request that has
+/// arrived but wasn't read yet would be lost.
+const CLOSE_DELAY: Duration = Duration::from_millis(5);
+/// Connections above the limit that may be in the course of getting an error response at one time;
+/// further ones are closed without a response.
+const MAX_REFUSALS: usize = 64;
 
-/// Counts connections for as long as its clones live.
+/// A count of connections; each clone adds one for as long as it lives.
 #[derive(Clone, Default)]
-struct Count(Rc<()>);
+struct Counter(Rc<()>);
 
-impl Count {
-    fn others(&self) -> usize {
+impl Counter {
+    fn clones(&self) -> usize {
         Rc::strong_count(&self.0) - 1
     }
 }
@@ -50,10 +52,12 @@
     H: Fn(Request) -> F + Clone + 'static,
     F: Future<Output = Response<BoxBody>> + 'static,
 {
-    let (open, told) = (Count::default(), Count::default());
+    let (open, refusals) = (Counter::default(), Counter::default());
     loop {
-        let now = *limits.borrow_and_update();
-        let Ok(service) = build(now, handler.clone(), state.clone()).await else { return };
+        let current = *limits.borrow_and_update();
+        let Ok(service) = build_service(current, handler.clone(), state.clone()).await else {
+            return;
+        };
         loop {
             let accepted = tokio::select! {
                 accepted = socket.accept() => accepted,
@@ -63,26 +67,26 @@
             let (stream, peer) = match accepted {
                 Ok(accepted) => accepted,
                 Err(cause) => {
-                    log::warn!(cause:% = cause; "can't accept a connection");
-                    tokio::time::sleep(AFTER_ERROR).await;
+                    log::warn!(cause:% = cause; "failed to accept a connection");
+                    tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
                     continue;
                 }
             };
-            if open.others() < now.connections {
+            if open.clones() < current.max_connections {
                 let _ = stream.set_nodelay(true);
-                let conn = Rc::new(Conn::default());
-                let io = Io::new(stream, conn.clone(), now);
+                let connection = Rc::new(Connection::default());
+                let io = Io::new(stream, connection.clone(), current);
                 let serving = Box::pin(service.call((io, Some(peer))));
-                actix_rt::spawn(carry(serving, conn, state.clone(), open.clone()));
-            } else if told.others() < TOLD {
-                log::warn!(connections = now.connections; "no room for a connection");
-                actix_rt::spawn(refuse(stream, told.clone()));
+                actix_rt::spawn(drive(serving, connection, state.clone(), open.clone()));
+            } else if refusals.clones() < MAX_REFUSALS {
+                log::warn!(connections = current.max_connections; "connection limit reached; refusing a connection");
+                actix_rt::spawn(refuse(stream, refusals.clone()));
             }
         }
     }
 }
 
-async fn build<H, F>(
+async fn build_service<H, F>(
     limits: Limits,
     handler: H,
     state: watch::Receiver<State>,
@@ -92,77 +96,77 @@
     F: Future<Output = Response<BoxBody>> + 'static,
 {
     let factory = HttpService::build()
-        .client_request_timeout(limits.head_time)
+        .client_request_timeout(limits.head_timeout)
         .client_disconnect_timeout(LINGER)
         .keep_alive(limits.keep_alive)
         .h1_allow_half_closed(false)
         .on_connect_ext(|io: &Io, data: &mut actix_http::Extensions| {
-            data.insert(io.conn.clone());
+            data.insert(io.connection.clone());
         })
         .h1(move |request: Request| {
-            let old = request.version() < Version::HTTP_11;
-            let active = request.conn_data::<Rc<Conn>>().cloned().map(Active::new);
-            // Boxed, so that its memory is free again while the body is passed on, for minutes.
-            let answer = Box::pin(handler(request));
+            let http_10 = request.version() < Version::HTTP_11;
+            let active = request.conn_data::<Rc<Connection>>().cloned().map(ActiveRequest::new);
+            // Boxed, so that the future's memory is freed before the body is sent, which may take minutes.
+            let response = Box::pin(handler(request));
             let state = state.clone();
             async move {
-                let mut response = answer.await;
-                if old && response.body().size() == BodySize::Stream {
-                    // Clients of HTTP/1.0 know no chunks; the end of the connection ends a stream.
+                let mut response = response.await;
+                if http_10 && response.body().size() == BodySize::Stream {
+                    // HTTP/1.0 has no chunked encoding; the end of the connection ends the stream.
                     response.head_mut().no_chunking(true);
                     response.head_mut().set_connection_type(ConnectionType::Close);
                 }
                 if *state.borrow() != State::Open {
                     response.head_mut().set_connection_type(ConnectionType::Close);
                 }
-                let tracked = |body| BoxBody::new(Tracked { body, active });
+                let tracked = |body| BoxBody::new(TrackedBody { body, active });
                 Ok::<_, Infallible>(response.map_body(|_, body| tracked(body)))
             }
         });
-    factory.new_service(()).await.map_err(|_| io::Error::other("no service"))
+    factory.new_service(()).await.map_err(|_| io::Error::other("can't build the HTTP service"))
 }
 
-/// Carries one connection to its end.
-async fn carry(
+/// Drives one connection to its end.
+async fn drive(
     mut serving: Pin<Box<impl Future>>,
-    conn: Rc<Conn>,
+    connection: Rc<Connection>,
     mut state: watch::Receiver<State>,
-    _count: Count,
+    _counter: Counter,
 ) {
     loop {
         tokio::select! {
             _ = &mut serving => return,
-            _ = conn.changed.notified() => {
-                if conn.is_gone() {
+            _ = connection.changed.notified() => {
+                if connection.is_peer_gone() {
                     return;
                 }
             }
             changed = state.changed() => {
-                let now = *state.borrow_and_update();
-                if changed.is_err() || now == State::Cut {
+                let current = *state.borrow_and_update();
+                if changed.is_err() || current == State::Aborted {
                     return;
                 }
-                if now == State::Closing {
-                    let settled = tokio::time::timeout(SETTLE, &mut serving).await;
-                    if settled.is_ok() {
+                if current == State::Closing {
+                    let ended = tokio::time::timeout(CLOSE_DELAY, &mut serving).await;
+                    if ended.is_ok() {
                         return;
                     }
-                    conn.close();
+                    connection.close();
                 }
             }
         }
     }
 }
 
-/// Tells a caller that there is no room, before any request of it was read.
-async fn refuse(mut stream: TcpStream, _count: Count) {
-    let Some(answer) = error::answer("503") else { return };
-    let told = async {
-        stream.write_all(&answer).await?;
+/// Sends an error response to a caller above the limit of connections, before reading any request.
+async fn refuse(mut stream: TcpStream, _counter: Counter) {
+    let Some(response) = error::error_response("503") else { return };
+    let sent = async {
+        stream.write_all(&response).await?;
         stream.shutdown().await?;
         let mut rest = [0; 1_024];
         while stream.read(&mut rest).await? > 0 {}
         io::Result::Ok(())
     };
-    let _ = tokio::time::timeout(LINGER, told).await;
+    let _ = tokio::time::timeout(LINGER, sent).await;
 }
--- a/components/listen/src/io.rs
+++ b/components/listen/src/io.rs
@@ -1,4 +1,4 @@
-//! The bytes of a connection, with the limits that the HTTP library has no setting for.
+//! The byte stream of a connection, with the limits that the HTTP library has no setting for.
 
 use std::io::{Error, ErrorKind, Result};
 use std::pin::Pin;
@@ -10,88 +10,91 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::time::Sleep;
 
-use crate::conn::Conn;
+use crate::connection::Connection;
 use crate::{Limits, error};
 
-/// Bytes taken in ahead of the answer under way. The HTTP library reads on while a request is
-/// served and, once its buffer is full of further requests, wakes itself without end: one caller
-/// that sends ahead would cost a whole core.
-const AHEAD: usize = 16 << 10;
-/// Bytes that a reader must take within [`Limits::slow_reader`]; a reader of fewer holds a place
-/// at an engine for as long as it likes.
-const LEAST: usize = 4 << 10;
+/// Bytes read ahead of the response in progress. The HTTP library reads on while a request is
+/// served and, once its buffer is full of further requests, wakes itself in a busy loop: one caller
+/// that pipelines requests would use a whole core.
+const MAX_READ_AHEAD_BYTES: usize = 16 << 10;
+/// Bytes that a caller must read within [`Limits::write_timeout`]; one that reads fewer occupies a
+/// slot at an engine for as long as it likes.
+const MIN_WRITE_BYTES: usize = 4 << 10;
 
 pub(crate) struct Io {
     pub(crate) stream: TcpStream,
-    pub(crate) conn: Rc<Conn>,
+    pub(crate) connection: Rc<Connection>,
     pub(crate) limits: Limits,
-    /// Bytes that came ahead of the answer under way.
-    ahead: usize,
-    /// How many requests were served when bytes of a further head came.
-    begun: Option<u64>,
-    between: Timer,
-    /// What the timer between requests was started for.
-    waits: (u64, bool),
-    reader: Timer,
-    /// Bytes that the reader took since its timer began.
-    taken: usize,
+    /// Bytes that arrived ahead of the response in progress.
+    read_ahead: usize,
+    /// Number of requests served when bytes of a further head arrived.
+    head_begun_at: Option<u64>,
+    idle_timer: Timer,
+    /// What the idle timer was started for: the number of requests served, and whether a further
+    /// head had begun.
+    idle_phase: (u64, bool),
+    write_timer: Timer,
+    /// Bytes written since the write timer began.
+    written_bytes: usize,
     /// What is left to write in place of what the HTTP library wrote.
-    instead: Option<Vec<u8>>,
-    /// Requests whose answers were written out. One that was taken over since is the handler's own.
-    written: u64,
+    replacement: Option<Vec<u8>>,
+    /// Number of requests whose responses were written out. If more were served, the response now
+    /// being written is the handler's.
+    flushed: u64,
 }
 
 impl Io {
-    pub(crate) fn new(stream: TcpStream, conn: Rc<Conn>, limits: Limits) -> Self {
-        let (between, reader) = (Timer::default(), Timer::default());
-        let (begun, waits) = (None, (0, false));
+    pub(crate) fn new(stream: TcpStream, connection: Rc<Connection>, limits: Limits) -> Self {
+        let (idle_timer, write_timer) = (Timer::default(), Timer::default());
+        let (head_begun_at, idle_phase) = (None, (0, false));
         Io {
             stream,
-            conn,
+            connection,
             limits,
-            ahead: 0,
-            begun,
-            between,
-            waits,
-            reader,
-            taken: 0,
-            instead: None,
-            written: 0,
+            read_ahead: 0,
+            head_begun_at,
+            idle_timer,
+            idle_phase,
+            write_timer,
+            written_bytes: 0,
+            replacement: None,
+            flushed: 0,
         }
     }
 
-    fn came(&mut self, count: usize) {
-        if !self.conn.active() {
-            self.begun = Some(self.conn.served());
-        } else if self.conn.is_received() {
-            self.ahead += count;
+    fn record_read(&mut self, count: usize) {
+        if !self.connection.is_active() {
+            self.head_begun_at = Some(self.connection.served());
+        } else if self.connection.is_body_received() {
+            self.read_ahead += count;
         }
     }
 
-    /// No request is under way, and nothing of a further one came. Bytes that were read and not yet
-    /// taken for a request would else be served on a connection that is being closed under them.
-    fn idle(&self) -> bool {
-        !self.conn.active() && self.begun != Some(self.conn.served())
+    /// Whether no request is in progress and no byte of a further one arrived. A connection with
+    /// bytes that were read but not yet parsed as a request mustn't be closed: their request would
+    /// be served and its response lost.
+    fn is_idle(&self) -> bool {
+        !self.connection.is_active() && self.head_begun_at != Some(self.connection.served())
     }
 
-    /// No bytes are there; whether the connection stood between two requests for too long. The
-    /// HTTP library itself watches the first head only.
-    fn stale(&mut self, cx: &mut Context<'_>) -> bool {
-        if self.conn.active() {
+    /// Whether the connection waited too long for its next request; called while no bytes can be
+    /// read. The HTTP library itself limits the time of the first head only.
+    fn poll_idle_timeout(&mut self, cx: &mut Context<'_>) -> bool {
+        if self.connection.is_active() {
             return false;
         }
-        self.ahead = 0;
-        let served = self.conn.served();
+        self.read_ahead = 0;
+        let served = self.connection.served();
         if served == 0 {
             return false;
         }
-        let begun = self.begun == Some(served);
-        if self.waits != (served, begun) {
-            self.waits = (served, begun);
-            self.between.stop();
+        let begun = self.head_begun_at == Some(served);
+        if self.idle_phase != (served, begun) {
+            self.idle_phase = (served, begun);
+            self.idle_timer.stop();
         }
-        let limit = if begun { self.limits.head_time } else { self.limits.keep_alive };
-        self.between.passed(limit, cx)
+        let limit = if begun { self.limits.head_timeout } else { self.limits.keep_alive };
+        self.idle_timer.poll_elapsed(limit, cx)
     }
 }
 
@@ -102,21 +105,23 @@
         buf: &mut ReadBuf<'_>,
     ) -> Poll<Result<()>> {
         let this = self.get_mut();
-        if this.ahead >= AHEAD && this.conn.active() {
-            return Poll::Pending; // the end of the request under way wakes the connection
+        if this.read_ahead >= MAX_READ_AHEAD_BYTES && this.connection.is_active() {
+            return Poll::Pending; // the end of the request in progress wakes the connection
         }
         let before = buf.filled().len();
         match Pin::new(&mut this.stream).poll_read(cx, buf) {
             Poll::Ready(done) => {
                 let count = buf.filled().len() - before;
-                if (count == 0 || done.is_err()) && this.conn.active() {
-                    this.conn.leave();
+                if (count == 0 || done.is_err()) && this.connection.is_active() {
+                    this.connection.mark_peer_gone();
                 }
-                this.came(count);
+                this.record_read(count);
                 Poll::Ready(done)
             }
-            Poll::Pending if this.conn.is_closing() && this.idle() => Poll::Ready(Ok(())),
-            Poll::Pending if this.stale(cx) => Poll::Ready(Err(timeout("no request came"))),
+            Poll::Pending if this.connection.is_closing() && this.is_idle() => Poll::Ready(Ok(())),
+            Poll::Pending if this.poll_idle_timeout(cx) => {
+                Poll::Ready(Err(timeout("timed out waiting for the next request")))
+            }
             Poll::Pending => Poll::Pending,
         }
     }
@@ -125,42 +130,44 @@
 impl AsyncWrite for Io {
     fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<Result<usize>> {
         let this = self.get_mut();
-        let answered = this.conn.active() || this.conn.served() > this.written;
-        if this.instead.is_none() && !answered {
-            this.instead = error::instead(buf);
+        let from_handler = this.connection.is_active() || this.connection.served() > this.flushed;
+        if this.replacement.is_none() && !from_handler {
+            this.replacement = error::replacement(buf);
         }
-        if let Some(rest) = &mut this.instead {
+        if let Some(rest) = &mut this.replacement {
             while !rest.is_empty() {
                 let count = ready!(Pin::new(&mut this.stream).poll_write(cx, rest))?;
                 rest.drain(..count);
             }
-            this.instead = None;
+            this.replacement = None;
             return Poll::Ready(Ok(buf.len()));
         }
         match Pin::new(&mut this.stream).poll_write(cx, buf) {
             Poll::Ready(done) => {
-                this.taken += done.as_ref().map_or(0, |count| *count);
+                this.written_bytes += done.as_ref().map_or(0, |count| *count);
                 Poll::Ready(done)
             }
             Poll::Pending => {
-                while this.reader.passed(this.limits.slow_reader, cx) {
-                    if this.taken < LEAST {
-                        return Poll::Ready(Err(timeout("the reader takes too little")));
+                while this.write_timer.poll_elapsed(this.limits.write_timeout, cx) {
+                    if this.written_bytes < MIN_WRITE_BYTES {
+                        return Poll::Ready(Err(timeout(
+                            "the caller reads the response too slowly",
+                        )));
                     }
-                    this.taken = 0;
-                    this.reader.stop();
+                    this.written_bytes = 0;
+                    this.write_timer.stop();
                 }
                 Poll::Pending
             }
         }
     }
 
-    /// Called once all that waited was taken.
+    /// Called once everything buffered was written to the socket.
     fn poll_flush(self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<Result<()>> {
         let this = self.get_mut();
-        this.reader.stop();
-        this.taken = 0;
-        this.written = this.conn.served();
+        this.write_timer.stop();
+        this.written_bytes = 0;
+        this.flushed = this.connection.served();
         Pin::new(&mut this.stream).poll_flush(cx)
     }
 
@@ -173,7 +180,8 @@
     Error::new(ErrorKind::TimedOut, what)
 }
 
-/// A timer that costs nothing until something has to be waited for.
+/// A timer that is created when something first has to be waited for, so that a connection that
+/// never waits doesn't pay for one.
 #[derive(Default)]
 struct Timer(Option<Pin<Box<Sleep>>>);
 
@@ -182,8 +190,8 @@
         self.0 = None;
     }
 
-    /// Whether `limit` passed since the first call after a stop.
-    fn passed(&mut self, limit: Duration, cx: &mut Context<'_>) -> bool {
+    /// Whether `limit` passed since the first call after a stop; if not, wakes the task when it has.
+    fn poll_elapsed(&mut self, limit: Duration, cx: &mut Context<'_>) -> bool {
         let sleep = self.0.get_or_insert_with(|| Box::pin(tokio::time::sleep(limit)));
         sleep.as_mut().poll(cx).is_ready()
     }
--- a/components/listen/src/lib.rs
+++ b/components/listen/src/lib.rs
@@ -1,15 +1,15 @@
-//! A listener for HTTP with limits on what a connection may hold and for how long.
+//! Listens for HTTP/1 requests, with limits on what a connection may hold and for how long.
 //!
-//! A caller that goes away while its request is served ends its connection at once, and with it
-//! the handler's future. A caller that merely closes its sending half looks the same on the wire
-//! and is taken as gone.
+//! If a caller disconnects while its request is served, the connection ends at once and the handler's
+//! future is dropped. A caller that closes only its sending half looks the same on the wire and is
+//! treated as disconnected.
 
 mod accept;
-mod body;
-mod conn;
+mod connection;
 mod error;
-mod intake;
 mod io;
+mod request;
+mod response;
 
 use std::future::Future;
 use std::net::SocketAddr;
@@ -22,72 +22,72 @@
 use tokio::net::TcpSocket;
 use tokio::sync::watch;
 
-use crate::conn::Conn;
-pub use crate::intake::{Unread, announced, head, whole};
+use crate::connection::Connection;
+pub use crate::request::{BodyError, content_length, head_size, read_body};
 
-/// Connections that the system keeps ready while the process is busy.
+/// Connections that the kernel queues until the process accepts them.
 const BACKLOG: u32 = 1_024;
-/// Bytes of an answer that the system holds for a connection, beside those in the process. Enough
-/// for 64 KiB in flight each round trip; without it the system holds megabytes for a slow reader.
-const SEND_BUFFER: u32 = 64 << 10;
+/// Send buffer of a connection in the kernel. It allows 64 KiB in flight in each round trip; without
+/// a limit the kernel buffers megabytes for a slow reader.
+const SEND_BUFFER_BYTES: u32 = 64 << 10;
 
 derives::value! {
     enum State {
         Open,
         Draining,
         Closing,
-        Cut,
+        Aborted,
     }
 
     /// Limits on connections.
     pub struct Limits {
-        /// Connections held at once; one more is told that there is no room.
-        pub connections: usize,
+        /// Connections open at the same time; further ones are refused with status 503.
+        pub max_connections: usize,
         /// Time for a caller to send a request's head.
-        pub head_time: Duration,
-        /// Time that a connection may stand idle.
+        pub head_timeout: Duration,
+        /// Time that a connection may stay idle between two requests.
         pub keep_alive: Duration,
-        /// Longest time that an answer waits for its reader to take some of it.
-        pub slow_reader: Duration,
+        /// Time in which a caller that reads slowly must read some of the response.
+        pub write_timeout: Duration,
     }
 }
 
 impl Default for Limits {
     fn default() -> Self {
         Limits {
-            connections: 1_000,
-            head_time: Duration::from_secs(5),
-            // Above the usual 60 s of balancers, so that the balancer closes first and never
-            // sends into a closing connection.
+            max_connections: 1_000,
+            head_timeout: Duration::from_secs(5),
+            // Above the 60 s that load balancers usually have, so that the balancer closes first
+            // and never sends a request into a closing connection.
             keep_alive: Duration::from_secs(75),
-            slow_reader: Duration::from_secs(60),
+            write_timeout: Duration::from_secs(60),
         }
     }
 }
 
-/// An address that can't be listened at.
+/// An address that couldn't be bound.
 #[derive(Debug, thiserror::Error)]
 #[error(
-    "can't listen for {whom} at {address}; free the port or set another in the node's settings"
+    "can't listen for {name} at {address}; free the port or set another in the node's settings"
 )]
-pub struct Unopened {
-    whom: &'static str,
+pub struct BindError {
+    name: &'static str,
     address: SocketAddr,
     #[source]
     cause: std::io::Error,
 }
 
-/// An open listener. Dropping it cuts all its connections.
+/// An open listener. Dropping it aborts all its connections.
 pub struct Listener {
     address: SocketAddr,
     state: watch::Sender<State>,
 }
 
 impl Listener {
-    /// Opens a listener at `address` and gives each request to `handler`.
+    /// Opens a listener at `address` that passes each request to `handler`.
     ///
     /// # Errors
-    /// When the address can't be listened at.
+    /// When the address can't be bound.
     pub async fn open<H, F>(
         address: SocketAddr,
         limits: Limits,
@@ -97,14 +97,14 @@
         H: Fn(Request) -> F + Clone + 'static,
         F: Future<Output = Response<BoxBody>> + 'static,
     {
-        Self::open_with(address, watch::channel(limits).1, handler).await
+        Self::open_with_live_limits(address, watch::channel(limits).1, handler).await
     }
 
-    /// As [`Listener::open`], with limits that change; new ones hold for new connections.
+    /// As [`Listener::open`], with limits that may change; changed ones apply to new connections.
     ///
     /// # Errors
-    /// When the address can't be listened at.
-    pub async fn open_with<H, F>(
+    /// When the address can't be bound.
+    pub async fn open_with_live_limits<H, F>(
         address: SocketAddr,
         limits: watch::Receiver<Limits>,
         handler: H,
@@ -120,47 +120,50 @@
         Ok(Listener { address, state })
     }
 
-    /// As [`Listener::open_with`], with an error that says for whom.
+    /// As [`Listener::open_with_live_limits`], with an error that contains the `name` of those whom
+    /// the listener serves, such as "callers".
     ///
     /// # Errors
-    /// When the address can't be listened at.
-    pub async fn open_for<H, F>(
-        whom: &'static str,
+    /// When the address can't be bound.
+    pub async fn open_named<H, F>(
+        name: &'static str,
         address: SocketAddr,
         limits: watch::Receiver<Limits>,
         handler: H,
-    ) -> Result<Self, Unopened>
+    ) -> Result<Self, BindError>
     where
         H: Fn(Request) -> F + Clone + 'static,
         F: Future<Output = Response<BoxBody>> + 'static,
     {
-        let listener = Listener::open_with(address, limits, handler).await;
-        listener.map_err(|cause| Unopened { whom, address, cause })
+        let listener = Listener::open_with_live_limits(address, limits, handler).await;
+        listener.map_err(|cause| BindError { name, address, cause })
     }
 
-    /// Where it listens.
+    /// The address that it listens at, with the port that the system chose if 0 was asked for.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Goes on serving, but each answer from here on ends its connection, so that callers move to
-    /// another node while this one still listens.
+    /// Goes on accepting and serving, but closes each connection after its next response, so that
+    /// callers move to another node while this one still listens.
     pub fn drain(&self) {
-        self.raise(State::Draining);
+        self.advance(State::Draining);
     }
 
-    /// Takes no new connections, ends idle ones and waits until the rest have been answered.
+    /// Accepts no new connections, closes idle ones and waits until the requests in progress have
+    /// been answered.
     pub async fn close(&self) {
-        self.raise(State::Closing);
+        self.advance(State::Closing);
         self.state.closed().await;
     }
 
-    /// Cuts every connection.
-    pub fn cut(&self) {
-        self.raise(State::Cut);
+    /// Closes every connection at once, also in the middle of a response.
+    pub fn abort(&self) {
+        self.advance(State::Aborted);
     }
 
-    fn raise(&self, to: State) {
+    /// Moves on to a later state; never back.
+    fn advance(&self, to: State) {
         self.state.send_if_modified(|state| {
             let later = *state < to;
             *state = (*state).max(to);
@@ -169,19 +172,19 @@
     }
 }
 
-/// Tells the listener that the whole body of a request was read; what comes on the connection
-/// from here on belongs to the next request and waits for its turn.
-pub fn received(request: &Request) {
-    if let Some(conn) = request.conn_data::<Rc<Conn>>() {
-        conn.received();
+/// Tells the listener that the whole body of a request was read. What arrives on the connection
+/// afterwards belongs to the next request and counts against the limit of bytes read ahead.
+pub fn mark_body_received(request: &Request) {
+    if let Some(connection) = request.conn_data::<Rc<Connection>>() {
+        connection.mark_body_received();
     }
 }
 
 fn bind(address: SocketAddr) -> std::io::Result<TcpListener> {
     let socket = if address.is_ipv4() { TcpSocket::new_v4()? } else { TcpSocket::new_v6()? };
     socket.set_reuseaddr(true)?;
-    // Accepted connections inherit it.
-    socket.set_send_buffer_size(SEND_BUFFER)?;
+    // Accepted connections inherit the buffer size.
+    socket.set_send_buffer_size(SEND_BUFFER_BYTES)?;
     socket.bind(address)?;
     socket.listen(BACKLOG)
 }
--- a/components/listen/src/body.rs
+++ b/components/listen/src/response.rs
@@ -1,4 +1,5 @@
-//! The body of an answer, counted as under way until all of it was taken over for writing.
+//! A response body that counts its request as in progress until the HTTP library drops the body,
+//! which it does once it has taken over all of it for writing.
 
 use std::error::Error;
 use std::pin::Pin;
@@ -7,15 +8,15 @@
 use actix_http::body::{BodySize, BoxBody, MessageBody};
 use bytes::Bytes;
 
-use crate::conn::Active;
+use crate::connection::ActiveRequest;
 
-pub(crate) struct Tracked {
+pub(crate) struct TrackedBody {
     pub(crate) body: BoxBody,
     #[allow(dead_code, reason = "counts the request until the body is dropped")]
-    pub(crate) active: Option<Active>,
+    pub(crate) active: Option<ActiveRequest>,
 }
 
-impl MessageBody for Tracked {
+impl MessageBody for TrackedBody {
     type Error = Box<dyn Error>;
 
     fn size(&self) -> BodySize {
--- a/components/listen/tests/closing.rs
+++ b/components/listen/tests/closing.rs
@@ -1,4 +1,4 @@
-//! A listener that closes while callers use their connections.
+//! Tests that a listener which closes loses no request.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::time::Duration;
@@ -11,9 +11,9 @@
 
 const REQUEST: &[u8] = b"GET / HTTP/1.1\r\nhost: a\r\n\r\n";
 
-/// A caller sends a request on a connection that it kept, in the moment in which the node closes
-/// those that stand idle. The request was read and passed on, and its caller saw the connection end
-/// without a word; it couldn't tell whether a charge had run.
+/// A caller reuses a connection at the moment in which the node closes its idle connections. If the
+/// request is read and run but the connection closes without a response, the caller can't tell
+/// whether a charge was made.
 #[actix_rt::test]
 async fn a_request_that_crosses_the_closing_is_answered() {
     tokio::time::pause();
--- a/components/router/src/follow.rs
+++ b/components/router/src/follow.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, SystemTime};
 
 use clock::Clock;
-use configuration::List;
+use configuration::VmList;
 use configuration::wire::{Role, Vm};
 
 use crate::claim;
@@ -20,7 +20,7 @@
 }
 
 async fn list(weak: Weak<State>) {
-    let Some(service) = weak.upgrade().map(|s| List::new(s.node.list)) else { return };
+    let Some(service) = weak.upgrade().map(|s| VmList::new(s.node.list)) else { return };
     loop {
         let Some(asked) = weak.upgrade().map(|state| state.wall()) else { return };
         let read = service.read().await;
--- a/components/router/src/handover.rs
+++ b/components/router/src/handover.rs
@@ -56,9 +56,9 @@
 
 /// Takes calls in that another home let through.
 pub(crate) async fn handle(state: Rc<State>, mut request: Request) -> Answer {
-    let body = match listen::whole(&mut request, LARGEST).await {
+    let body = match listen::read_body(&mut request, LARGEST).await {
         Ok(body) => body,
-        Err(unread) => return unread.answer(),
+        Err(unread) => return unread.response(),
     };
     let Ok(handover) = Handover::decode(&body) else {
         return Response::new(StatusCode::BAD_REQUEST).map_into_boxed_body();
--- a/components/router/src/keyed.rs
+++ b/components/router/src/keyed.rs
@@ -286,7 +286,7 @@
 
 async fn read(state: &State, mut request: Request) -> Option<(Job, ids::Request)> {
     let settings = state.settings()?;
-    let all = listen::whole(&mut request, settings.limits.max_body + ROOM);
+    let all = listen::read_body(&mut request, settings.limits.max_body + ROOM);
     let body = tokio::time::timeout(settings.limits.body_time, all).await.ok()?.ok()?;
     let keyed = KeyedCall::decode(&body).ok()?;
     let key = ids::Request::parse(&keyed.key).ok()?;
--- a/components/router/src/lib.rs
+++ b/components/router/src/lib.rs
@@ -53,16 +53,16 @@
         let shared = state.clone();
         let handler = move |request| callers::handle(shared.clone(), request);
         let callers =
-            Listener::open_for("callers", callers, state.limits.subscribe(), handler).await?;
+            Listener::open_named("callers", callers, state.limits.subscribe(), handler).await?;
         let shared = state.clone();
         let handler = move |request| peers::handle(shared.clone(), request);
-        let peers = Listener::open_for("peers", peers, own(), handler).await?;
+        let peers = Listener::open_named("peers", peers, own(), handler).await?;
         *state.address.borrow_mut() = peers.address().to_string();
         let (name, address) = (state.node.name.clone(), peers.address().to_string());
         *state.home.borrow_mut() = idempotency::Owner::new(idempotency::Member { name, address });
         let shared = state.clone();
         let handler = move |request| operators::handle(shared.clone(), request);
-        let operators = Listener::open_for("operators", operators, own(), handler).await?;
+        let operators = Listener::open_named("operators", operators, own(), handler).await?;
         follow::start(&state);
         revisions::start(&state);
         engines::start(&state);
@@ -128,7 +128,7 @@
         for id in cut.iter().take(NAMED) {
             log::warn!(request:% = id; "cut");
         }
-        self.callers.cut();
+        self.callers.abort();
         cut
     }
 }
--- a/components/router/src/peers.rs
+++ b/components/router/src/peers.rs
@@ -45,9 +45,9 @@
         }
         _ => {}
     }
-    let body = match listen::whole(&mut request, LARGEST).await {
+    let body = match listen::read_body(&mut request, LARGEST).await {
         Ok(body) => body,
-        Err(unread) => return unread.answer(),
+        Err(unread) => return unread.response(),
     };
     let theirs = match Frame::decode(&body) {
         Ok(theirs) => theirs,
--- a/components/router/src/revisions.rs
+++ b/components/router/src/revisions.rs
@@ -11,7 +11,7 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-use configuration::spread::{self, Place};
+use configuration::topology::{self, Position};
 use configuration::wire::{Role, Vm};
 use serde_json::json;
 use settings::mark::{Mark, Shown};
@@ -90,8 +90,8 @@
         }
     }
 
-    fn place(&self, name: &str, domain: &str) -> Place {
-        spread::place(&self.list.borrow(), name, domain)
+    fn place(&self, name: &str, domain: &str) -> Position {
+        topology::position(&self.list.borrow(), name, domain)
     }
 
     /// Listed peers, those of the own failure domain first.
@@ -118,8 +118,8 @@
         let mark = self.mark.borrow();
         let age = self.confirmed.get().map(|at| (now - at).as_millis() as u64);
         let role = match self.place(name, domain) {
-            Place::Watcher => "watches the service",
-            Place::Listener(_) => "hears from peers",
+            Position::Watcher => "watches the service",
+            Position::Follower(_) => "hears from peers",
         };
         json!({
             "confirmed_ms_ago": age,
--- a/components/router/src/revisions/follow.rs
+++ b/components/router/src/revisions/follow.rs
@@ -6,10 +6,10 @@
 use std::time::Duration;
 
 use clock::Clock;
-use configuration::peer::News;
-use configuration::spread::{ALONE, EVERY, Place, jittered};
+use configuration::peer::Update;
+use configuration::topology::{DIRECT_READ_INTERVAL, ISOLATED_READ_INTERVAL, Position, jittered};
 use configuration::wire::Manifest;
-use configuration::{Configuration, List, Peer};
+use configuration::{Configuration, Peer, VmList};
 use futures_util::future::join_all;
 use settings::mark::Shown;
 
@@ -55,8 +55,8 @@
         let place = state.revisions.place(&state.node.name, &state.node.domain);
         drop(state);
         let came = match place {
-            Place::Watcher => watch(&weak, &service).await,
-            Place::Listener(ahead) => listen(&weak, ahead, &service).await,
+            Position::Watcher => watch(&weak, &service).await,
+            Position::Follower(ahead) => listen(&weak, ahead, &service).await,
         };
         failures = if came { 0 } else { (failures + 1).min(8) };
         if failures > 0 {
@@ -130,7 +130,7 @@
             Err(_) => {}
         }
     }
-    tokio::time::sleep(jittered(ALONE, rand::random())).await;
+    tokio::time::sleep(jittered(ISOLATED_READ_INTERVAL, rand::random())).await;
     let Some(state) = weak.upgrade() else { return true };
     read(&state, service).await;
     false
@@ -154,7 +154,7 @@
 /// Asks the service and some peers at once and takes the highest that any of them can show whole.
 async fn around(state: &Rc<State>, service: &Configuration) {
     if state.revisions.list.borrow().is_empty()
-        && let Ok(list) = List::new(state.node.list).read().await
+        && let Ok(list) = VmList::new(state.node.list).read().await
     {
         state.revisions.listed(&list);
     }
@@ -174,7 +174,7 @@
     match manifest {
         // Number 0 is what the service shows before anything was published.
         Ok(manifest) if manifest.revision > 0 => {
-            shown.push((Source::Service(service.clone()), News::Manifest(manifest)));
+            shown.push((Source::Service(service.clone()), Update::Manifest(manifest)));
         }
         Ok(_) => {}
         Err(cause) => log::warn!(cause:% = cause; "can't read the settings"),
@@ -207,11 +207,11 @@
         }
         compare(&state).await;
         let place = state.revisions.place(&state.node.name, &state.node.domain);
-        if due.is_some_and(|due| now >= due) && place != Place::Watcher {
+        if due.is_some_and(|due| now >= due) && place != Position::Watcher {
             read(&state, &service).await;
         }
         if due.is_none_or(|due| now >= due) {
-            due = Some(now + jittered(EVERY, rand::random()));
+            due = Some(now + jittered(DIRECT_READ_INTERVAL, rand::random()));
         }
         before = Some(state.clock.now());
         drop(state);
--- a/components/router/src/revisions/serve.rs
+++ b/components/router/src/revisions/serve.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 
 use actix_http::{Request, Response, StatusCode};
-use configuration::peer::{Changed, Delta, HOLD, NEWS, News, VALUES};
+use configuration::peer::{Changed, Delta, MANIFEST_PATH, Update, VALUE_PATH, WATCH_TIMEOUT};
 use configuration::wire::{Manifest, Part as Listed};
 use settings::mark::Shown;
 
@@ -19,10 +19,10 @@
 /// Answers a peer that asks for settings.
 pub(crate) async fn handle(state: Rc<State>, request: &Request) -> Answer {
     let path = request.path();
-    if let Some(digest) = path.strip_prefix(VALUES) {
+    if let Some(digest) = path.strip_prefix(VALUE_PATH) {
         return value(&state, digest);
     }
-    if path != NEWS {
+    if path != MANIFEST_PATH {
         return empty(StatusCode::NOT_FOUND);
     }
     let query = request.uri().query().unwrap_or_default();
@@ -31,7 +31,7 @@
     let digest = field("digest=").and_then(|text| u64::from_str_radix(text, 16).ok());
     if !query.split('&').any(|pair| pair == "now") {
         let mut shown = state.revisions.shown.subscribe();
-        let _ = tokio::time::timeout(HOLD, shown.wait_for(|shown| *shown > after)).await;
+        let _ = tokio::time::timeout(WATCH_TIMEOUT, shown.wait_for(|shown| *shown > after)).await;
     }
     let theirs = Shown { revision: after, digest: digest.unwrap_or(0) };
     match news(&state, theirs) {
@@ -59,7 +59,7 @@
 }
 
 /// What is new to one who holds `theirs`.
-fn news(state: &State, theirs: Shown) -> Option<News> {
+fn news(state: &State, theirs: Shown) -> Option<Update> {
     let held = state.settings()?;
     if held.revision <= theirs.revision {
         return None;
@@ -84,7 +84,7 @@
             gone: gone.map(|name| name.to_string()).collect(),
         })
     });
-    Some(delta.map_or_else(|| News::Manifest(manifest(&held)), News::Delta))
+    Some(delta.map_or_else(|| Update::Manifest(manifest(&held)), Update::Delta))
 }
 
 fn manifest(held: &settings::Effective) -> Manifest {
--- a/components/router/src/revisions/take.rs
+++ b/components/router/src/revisions/take.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 
 use clock::Clock;
-use configuration::peer::{Delta, News};
+use configuration::peer::{Delta, Update};
 use configuration::wire::Manifest;
 use configuration::{Configuration, Peer};
 use futures_util::{StreamExt, TryStreamExt, stream};
@@ -60,10 +60,10 @@
 }
 
 /// The number and the claimed digest of what a peer tells.
-pub(super) fn claimed(news: &News) -> Shown {
+pub(super) fn claimed(news: &Update) -> Shown {
     match news {
-        News::Manifest(manifest) => shown(manifest),
-        News::Delta(delta) => Shown { revision: delta.revision, digest: delta.digest },
+        Update::Manifest(manifest) => shown(manifest),
+        Update::Delta(delta) => Shown { revision: delta.revision, digest: delta.digest },
     }
 }
 
@@ -122,10 +122,10 @@
 }
 
 /// Takes in what a peer tells.
-pub(super) async fn news(state: &Rc<State>, source: &Source, news: News) -> Result<(), Fault> {
+pub(super) async fn news(state: &Rc<State>, source: &Source, news: Update) -> Result<(), Fault> {
     match news {
-        News::Manifest(shown) => manifest(state, source, &shown).await,
-        News::Delta(told) => delta(state, source, told),
+        Update::Manifest(shown) => manifest(state, source, &shown).await,
+        Update::Delta(told) => delta(state, source, told),
     }
 }
 
--- a/components/router/src/state.rs
+++ b/components/router/src/state.rs
@@ -166,9 +166,9 @@
 /// Limits of the callers' listener under these settings.
 fn intake(limits: &settings::Limits) -> listen::Limits {
     listen::Limits {
-        connections: limits.connections,
-        head_time: limits.head_time,
-        slow_reader: limits.slow_reader,
+        max_connections: limits.connections,
+        head_timeout: limits.head_time,
+        write_timeout: limits.slow_reader,
         ..listen::Limits::default()
     }
 }
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -154,8 +154,8 @@
     }
     let listed = vms(&site.routers);
     let watch = |name: &str| {
-        configuration::spread::place(&listed, name, "riga-a")
-            == configuration::spread::Place::Watcher
+        configuration::topology::position(&listed, name, "riga-a")
+            == configuration::topology::Position::Watcher
     };
     for index in (0..7).filter(|index| watch(&format!("entry-{index}"))) {
         let mut own = node(index, &site.platform);
@@ -297,7 +297,7 @@
     let handler = move |request: actix_http::Request| {
         let body = body.clone();
         async move {
-            let about = request.path() == configuration::peer::NEWS;
+            let about = request.path() == configuration::peer::MANIFEST_PATH;
             let status = if about { 200 } else { 404 };
             let status = actix_http::StatusCode::from_u16(status).unwrap();
             actix_http::Response::build(status).body(body).map_into_boxed_body()
@@ -336,8 +336,8 @@
                 listed.push(vm);
             }
         }
-        let place = configuration::spread::place(&listed, "entry-0", "riga-a");
-        assert_ne!(place, configuration::spread::Place::Watcher);
+        let place = configuration::topology::position(&listed, "entry-0", "riga-a");
+        assert_ne!(place, configuration::topology::Position::Watcher);
         site.platform.list(listed);
         tokio::time::sleep(READ).await;
         assert_held(&site.routers, 1);
