--- a/components/configuration/src/topology.rs
+++ b/components/configuration/src/topology.rs
@@ -49,7 +49,7 @@
 /// reads from the watchers of its domain; one without any listed peer there watches the service.
 ///
 /// ```
-/// use configuration::topology::{Place, place};
+/// use configuration::topology::{Position, position};
 /// assert_eq!(position(&[], "entry-0", "riga-a"), Position::Watcher);
 /// ```
 pub fn position(list: &[Vm], name: &str, domain: &str) -> Position {
