--- a/components/router/src/callers.rs
+++ b/components/router/src/callers.rs
@@ -1,4 +1,4 @@
-//! The callers' interface: who calls, for what, and whether the call is well formed.
+//! Serves callers: authenticates a call, checks it, and passes it on to be run.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -11,19 +11,19 @@
 use settings::{Effective, ServerKind, Workspace};
 
 use crate::answer::{self, Answer, Error};
-use crate::relay::{self, Job, Parcel};
+use crate::relay::{self, Job, Payload};
 use crate::state::State;
-use crate::{intake, keyed};
-
-const CLASS: &str = "x-class";
-const DEADLINE: &str = "x-deadline-ms";
-const CHAT: &str = "/v1/chat/completions";
-const TEXT: &str = "/v1/completions";
-const MODELS: &str = "/v1/models";
-/// Class in the metrics of a request that was refused before its class was known.
+use crate::{keyed, request};
+
+const CLASS_HEADER: &str = "x-class";
+const DEADLINE_HEADER: &str = "x-deadline-ms";
+const CHAT_PATH: &str = "/v1/chat/completions";
+const TEXT_PATH: &str = "/v1/completions";
+const MODELS_PATH: &str = "/v1/models";
+/// Class label in the metrics of a request that was rejected before its class was known.
 const NO_CLASS: &str = "";
 
-/// The fields of a body that the router reads; the rest passes through.
+/// The fields of a body that the router reads; all others are passed through.
 #[derive(Deserialize)]
 struct Body {
     model: String,
@@ -31,30 +31,34 @@
     max_completion_tokens: Option<u32>,
 }
 
-/// Answers one call.
+/// Answers one request of a caller.
 pub(crate) async fn handle(state: Rc<State>, request: Request) -> Answer {
     let id = ids::Request::new();
     let received = lifecycle::Request::new(id);
-    let held = state.hold(id);
+    let open = state.open_request(id);
     let settings = state.settings();
     match admit(&state, settings.as_deref(), request, received).await {
-        Ok(Admitted::Models(body)) => answer::told(id, &body),
-        Ok(Admitted::Job(job)) => match job.parcel.key {
-            Some(key) if !job.parcel.class.idempotent => keyed::serve(state, *job, key, held).await,
-            _ => relay::serve(state, *job, held).await,
+        Ok(Admitted::Models(body)) => answer::success(id, &body),
+        Ok(Admitted::Job(job)) => match job.payload.key {
+            Some(key) if !job.payload.class.idempotent => {
+                keyed::serve(state, *job, key, open).await
+            }
+            _ => relay::serve(state, *job, open).await,
         },
         Err(error) => {
             let outcome = Outcome::NotRun(Reason::Invalid);
-            // The message may hold what the caller sent, so the log has only its kind.
-            log::info!(request:% = id, outcome = outcome.as_str(), cause = error.word(); "refused");
+            // The message may contain what the caller sent, so only the kind of error is logged.
+            log::info!(request:% = id, outcome = outcome.as_str(), cause = error.as_str(); "refused");
             state.metrics.outcome(NO_CLASS, outcome.as_str());
-            state.metrics.refusal(error.word());
-            answer::error(id, outcome, &error, error.again())
+            state.metrics.refusal(error.as_str());
+            answer::error(id, outcome, &error, error.retry_after())
         }
     }
 }
 
+/// A call that was admitted.
 enum Admitted {
+    /// The answer to a call for the list of models.
     Models(serde_json::Value),
     Job(Box<Job>),
 }
@@ -66,9 +70,9 @@
     received: lifecycle::Request<Received>,
 ) -> Result<Admitted, Error> {
     let settings = settings.ok_or(Error::NoSettings)?;
-    intake::head(&request, &settings.limits)?;
+    request::check_head(&request, &settings.limits)?;
     let (workspace_key, workspace) = workspace(settings, &request)?;
-    if request.path() == MODELS {
+    if request.path() == MODELS_PATH {
         return Ok(Admitted::Models(models(settings, workspace)));
     }
     let target = target(settings, request.path())?;
@@ -79,23 +83,23 @@
     let class = &settings.classes[class_key];
     let key = key(&request, class.idempotent)?;
     let arrived = state.clock.now();
-    let useful = deadline(&request)?.map_or(class.deadline, |asked| asked.min(class.deadline));
+    let time_limit = deadline(&request)?.map_or(class.deadline, |asked| asked.min(class.deadline));
     let media = header(&request, "content-type").unwrap_or("application/json").to_string();
     let path = request.uri().path_and_query().map_or(request.path(), |path| path.as_str());
     let path = path.to_string();
-    let body = intake::body(&mut request, &settings.limits).await?;
+    let body = request::read_body(&mut request, &settings.limits).await?;
     let (model, max_tokens) = match target {
         Target::Plain(model) => (model, Some(1)),
         Target::Completion => {
             let parsed: Body = serde_json::from_slice(&body).map_err(malformed)?;
             let model = settings.model_names.key(&parsed.model);
-            let model = model.ok_or_else(|| Error::Model(parsed.model.clone()))?;
+            let model = model.ok_or_else(|| Error::UnknownModel(parsed.model.clone()))?;
             (model, parsed.max_completion_tokens.or(parsed.max_tokens))
         }
     };
     Ok(Admitted::Job(Box::new(Job {
         life: received.admit(),
-        parcel: Parcel {
+        payload: Payload {
             class: class.clone(),
             workspace: workspace.name.clone(),
             model: settings.model_names.name(model).to_string(),
@@ -107,12 +111,12 @@
                 class: class_key,
                 workspace: workspace_key,
                 model,
-                prefix: relay::prefix(&body),
-                prompt_tokens: relay::tokens(&body),
+                prefix: relay::prefix_hash(&body),
+                prompt_tokens: relay::estimate_tokens(&body),
                 shared: vec![],
                 max_tokens,
                 arrived,
-                deadline: arrived + useful,
+                deadline: arrived + time_limit,
                 idempotent: class.idempotent,
                 region: settings.region_names.key(&state.node.region).unwrap_or_default(),
             },
@@ -121,7 +125,7 @@
     })))
 }
 
-/// Where a body is wrong, without a word of it: the error's own text may quote the caller's.
+/// The position of the error in a body. The text of `error` isn't used, because it may quote the body.
 fn malformed(error: serde_json::Error) -> Error {
     let (line, column) = (error.line(), error.column());
     Error::Body(match error.classify() {
@@ -132,31 +136,35 @@
     })
 }
 
+/// What the path of a call addresses.
 enum Target {
+    /// A completion; the body names the model.
     Completion,
+    /// A path prefix of a plain service.
     Plain(ids::Model),
 }
 
 fn target(settings: &Effective, path: &str) -> Result<Target, Error> {
-    if path == CHAT || path == TEXT {
+    if path == CHAT_PATH || path == TEXT_PATH {
         return Ok(Target::Completion);
     }
-    if path.split('/').any(climbs) {
-        return Err(Error::Path(path.to_string()));
+    if path.split('/').any(is_dot_segment) {
+        return Err(Error::UnknownPath(path.to_string()));
     }
     let plain = settings.servers.values().filter(|server| server.kind == ServerKind::Plain);
     let mut prefixes = plain.flat_map(|server| &server.models);
-    let under = |prefix: &str| {
+    let matches = |prefix: &str| {
         path.strip_prefix(prefix).is_some_and(|rest| rest.is_empty() || rest.starts_with('/'))
     };
-    let found = prefixes.find(|prefix| under(settings.model_names.name(**prefix)));
-    found.map(|prefix| Target::Plain(*prefix)).ok_or_else(|| Error::Path(path.to_string()))
+    let found = prefixes.find(|prefix| matches(settings.model_names.name(**prefix)));
+    found.map(|prefix| Target::Plain(*prefix)).ok_or_else(|| Error::UnknownPath(path.to_string()))
 }
 
-/// Whether a segment leads out of the prefix that the settings opened to callers.
-fn climbs(segment: &str) -> bool {
-    let plain = segment.to_ascii_lowercase().replace("%2e", ".");
-    plain == ".." || plain == "."
+/// Whether a path segment is `.` or `..`, also percent-encoded. Such a path could leave the prefix that
+/// the settings open to callers.
+fn is_dot_segment(segment: &str) -> bool {
+    let decoded = segment.to_ascii_lowercase().replace("%2e", ".");
+    decoded == ".." || decoded == "."
 }
 
 fn header<'a>(request: &'a Request, name: &str) -> Option<&'a str> {
@@ -168,9 +176,9 @@
     request: &Request,
 ) -> Result<(ids::Workspace, &'a Workspace), Error> {
     let key = header(request, "authorization").and_then(|value| value.strip_prefix("Bearer "));
-    let digest = settings::key_digest(key.ok_or(Error::Key)?);
-    // The table's lookup may tell by its time how near a digest came, which says nothing of a key.
-    let (name, workspace) = settings.caller(&digest).ok_or(Error::Key)?;
+    let digest = settings::key_digest(key.ok_or(Error::UnknownKey)?);
+    // The duration of the lookup may reveal how close a digest came, but that reveals nothing of a key.
+    let (name, workspace) = settings.caller(&digest).ok_or(Error::UnknownKey)?;
     Ok((name, workspace))
 }
 
@@ -179,13 +187,13 @@
     workspace: &Workspace,
     request: &Request,
 ) -> Result<ids::Class, Error> {
-    let Some(name) = header(request, CLASS) else { return Ok(workspace.class) };
+    let Some(name) = header(request, CLASS_HEADER) else { return Ok(workspace.class) };
     let key = settings.class_names.key(name).filter(|key| settings.classes.contains_key(*key));
-    key.ok_or_else(|| Error::Class(name.to_string()))
+    key.ok_or_else(|| Error::UnknownClass(name.to_string()))
 }
 
-/// The idempotency key. One without an issue time can't be told from one that ran long ago, so it
-/// is refused where it matters.
+/// The idempotency key, if it has an issue time. Without one a new key can't be distinguished from one
+/// that ran long ago, so that calls that must not run twice are rejected with such a key.
 fn key(request: &Request, idempotent: bool) -> Result<Option<ids::Request>, Error> {
     if !request.headers().contains_key(KEY) {
         return Ok(None);
@@ -193,13 +201,13 @@
     let key = header(request, KEY).and_then(|text| ids::Request::parse(text).ok());
     let dated = key.filter(|key| key.issued().is_some());
     if dated.is_none() && !idempotent {
-        return Err(Error::Undated);
+        return Err(Error::UndatedKey);
     }
     Ok(dated)
 }
 
 fn deadline(request: &Request) -> Result<Option<Duration>, Error> {
-    let Some(text) = header(request, DEADLINE) else { return Ok(None) };
+    let Some(text) = header(request, DEADLINE_HEADER) else { return Ok(None) };
     match text.parse::<u64>() {
         Ok(ms) if ms > 0 => Ok(Some(Duration::from_millis(ms))),
         _ => Err(Error::Deadline(text.to_string())),
@@ -207,8 +215,10 @@
 }
 
 fn models(settings: &Effective, workspace: &Workspace) -> serde_json::Value {
-    let may = |key: &ids::Server| workspace.servers.is_empty() || workspace.servers.contains(key);
-    let engines = settings.servers.iter().filter(|(key, _)| may(key)).map(|(_, server)| server);
+    let is_allowed =
+        |key: &ids::Server| workspace.servers.is_empty() || workspace.servers.contains(key);
+    let engines =
+        settings.servers.iter().filter(|(key, _)| is_allowed(key)).map(|(_, server)| server);
     let engines = engines.filter(|server| server.kind == ServerKind::Engine);
     let mut names: Vec<_> =
         engines.flat_map(|server| &server.models).map(|m| settings.model_names.name(*m)).collect();
--- a/components/router/src/cells.rs
+++ b/components/router/src/cells.rs
@@ -1,4 +1,5 @@
-//! Follows what the published list and the settings make of the cells.
+//! Keeps the division of nodes and servers into cells up to date with the published list and the
+//! settings.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -10,22 +11,23 @@
 
 use crate::state::State;
 
-/// The division in force, and what it was worked out from.
+/// This node's part of the division in force, and what the division was computed from.
 #[derive(Default)]
 pub(crate) struct Cells {
-    basis: u64,
-    /// The revision, and a hash of its servers' facts: most revisions change none of them, and
-    /// dividing a large fleet takes tens of milliseconds.
-    facts: (u64, u64),
-    own: u32,
+    /// Hash of the nodes and servers that the division was computed from.
+    input_hash: u64,
+    /// A revision of the settings, and a hash of the servers in it as far as the division depends on
+    /// them: most revisions don't change it, and dividing a large fleet takes tens of milliseconds.
+    server_hash: (u64, u64),
+    own_cell: u32,
     count: u32,
     /// Servers that this node uses, by the key of their name.
     servers: BTreeMap<u32, ids::Server>,
 }
 
 impl Cells {
-    /// Servers that this node uses, by the key of their name: those of its cell, and those of models
-    /// that the cell has no server of.
+    /// Servers that this node uses, by the key of their name: those of its cell, and those of models that
+    /// no server of the cell has.
     pub(crate) fn servers(&self) -> impl Iterator<Item = (u32, ids::Server)> {
         self.servers.iter().map(|(name, key)| (*name, *key))
     }
@@ -41,13 +43,13 @@
     }
 
     /// Number of this node's cell.
-    pub(crate) fn own(&self) -> u32 {
-        self.own
+    pub(crate) fn own_cell(&self) -> u32 {
+        self.own_cell
     }
 }
 
-/// Works the division out anew if what it depends on changed.
-pub(crate) fn follow(state: &State) {
+/// Computes the division again if what it depends on changed.
+pub(crate) fn update(state: &State) {
     let Some(settings) = state.settings() else { return };
     let mut nodes: Vec<_> = {
         let view = state.view.borrow();
@@ -57,23 +59,24 @@
     let own = wire::key(&state.node.name);
     nodes.push((own, wire::key(&state.node.domain)));
     nodes.sort_unstable();
-    let mut facts = state.cells.borrow().facts;
-    if facts.0 != settings.revision {
+    let mut server_hash = state.cells.borrow().server_hash;
+    if server_hash.0 != settings.revision {
         let models: Vec<_> = settings.servers.values().map(|server| &server.models).collect();
-        facts = (settings.revision, hash(&(places(&settings), models)));
-        state.cells.borrow_mut().facts = facts;
+        server_hash = (settings.revision, hash(&(members(&settings), models)));
+        state.cells.borrow_mut().server_hash = server_hash;
     }
-    let basis = hash(&(facts.1, &nodes));
-    if state.cells.borrow().basis == basis {
+    let input_hash = hash(&(server_hash.1, &nodes));
+    if state.cells.borrow().input_hash == input_hash {
         return;
     }
-    let division = divided(&settings, &nodes);
+    let division = divide_fleet(&settings, &nodes);
     let cell = division.nodes[&own];
-    let mates = division.nodes.iter().filter(|(_, held)| **held == cell).map(|(key, _)| *key);
-    let mates: BTreeSet<u32> = mates.collect();
-    log::info!(cell = cell, of = division.count, nodes = mates.len(); "cell");
-    state.view.borrow_mut().set_cell_nodes(mates);
-    let servers = servers(&settings, &division, cell);
+    let cell_nodes =
+        division.nodes.iter().filter(|(_, other)| **other == cell).map(|(key, _)| *key);
+    let cell_nodes: BTreeSet<u32> = cell_nodes.collect();
+    log::info!(cell = cell, of = division.count, nodes = cell_nodes.len(); "cell");
+    state.view.borrow_mut().set_cell_nodes(cell_nodes);
+    let servers = used_servers(&settings, &division, cell);
     let now = state.clock.now();
     let mut scheduler = state.driver.scheduler.borrow_mut();
     for (key, server) in &settings.servers {
@@ -81,7 +84,8 @@
             scheduler.set_share(key, Share { slots: 0, sent: 0, waiting: None }, now);
         }
     }
-    *state.cells.borrow_mut() = Cells { basis, facts, own: cell, count: division.count, servers };
+    *state.cells.borrow_mut() =
+        Cells { input_hash, server_hash, own_cell: cell, count: division.count, servers };
 }
 
 fn hash(value: &impl Hash) -> u64 {
@@ -90,36 +94,41 @@
     hasher.finish()
 }
 
-fn divided(settings: &Effective, nodes: &[(u32, u32)]) -> Division {
+fn divide_fleet(settings: &Effective, nodes: &[(u32, u32)]) -> Division {
     let nodes: Vec<_> =
         nodes.iter().map(|(key, domain)| Member { key: *key, domain: *domain, group: 0 }).collect();
     let size = Size { nodes: settings.limits.cell_nodes, servers: settings.limits.cell_servers };
-    divide(&nodes, &places(settings), size)
+    divide(&nodes, &members(settings), size)
 }
 
-/// Where the servers stand, and what they are dealt out by.
-fn places(settings: &Effective) -> Vec<Member> {
-    let place = |server: &std::rc::Rc<settings::Server>| Member {
+/// The servers with their failure domains and the groups that are distributed evenly over the cells.
+fn members(settings: &Effective) -> Vec<Member> {
+    let member = |server: &std::rc::Rc<settings::Server>| Member {
         key: wire::key(&server.name),
         domain: wire::key(settings.domain_names.name(server.domain)),
         group: server.models.first().map_or(0, |m| wire::key(settings.model_names.name(*m))),
     };
-    settings.servers.values().map(place).collect()
+    settings.servers.values().map(member).collect()
 }
 
-fn servers(settings: &Effective, division: &Division, cell: u32) -> BTreeMap<u32, ids::Server> {
+/// The servers of the cell, and those of models that no server of the cell has.
+fn used_servers(
+    settings: &Effective,
+    division: &Division,
+    cell: u32,
+) -> BTreeMap<u32, ids::Server> {
     let named = settings.servers.iter().map(|(key, server)| (wire::key(&server.name), key, server));
     let own = |name: u32| division.servers[&name] == cell;
-    let mine = named.clone().filter(|(name, _, _)| own(*name));
-    let served: BTreeSet<_> = mine.flat_map(|(_, _, s)| s.models.iter().copied()).collect();
+    let in_cell = named.clone().filter(|(name, _, _)| own(*name));
+    let served: BTreeSet<_> = in_cell.flat_map(|(_, _, s)| s.models.iter().copied()).collect();
     let used = named.filter(|(name, _, server)| {
         own(*name) || server.models.iter().any(|model| !served.contains(model))
     });
     used.map(|(name, key, _)| (name, key)).collect()
 }
 
-/// Work of this node's cell by tier, as far as it knows.
-pub(crate) fn sum(state: &State, own: &fleet::exchange::LocalState) -> Vec<wire::Cell> {
+/// Waiting requests and free slots of this node's cell by tier, as far as this node knows.
+pub(crate) fn load_by_tier(state: &State, own: &fleet::exchange::LocalState) -> Vec<wire::Cell> {
     let Some(settings) = state.settings() else { return vec![] };
     let cells = state.cells.borrow();
     let view = state.view.borrow();
@@ -130,14 +139,14 @@
     let rows: Vec<_> = last.flat_map(|last| &last.demand).chain(&own.demand).copied().collect();
     let servers = cells.servers().filter_map(|(_, key)| settings.servers.get(key));
     let slots: u32 = servers.map(|server| server.slots).sum();
-    let sent: u32 = rows.iter().map(|row| row.in_flight).sum();
-    let ranks: BTreeSet<u8> = settings.classes.values().map(|class| class.rank).collect();
-    let sum = |tier: u8| wire::Cell {
-        cell: cells.own(),
+    let in_flight: u32 = rows.iter().map(|row| row.in_flight).sum();
+    let tiers: BTreeSet<u8> = settings.classes.values().map(|class| class.rank).collect();
+    let load = |tier: u8| wire::Cell {
+        cell: cells.own_cell(),
         age_ms: 0,
         tier,
         waiting: rows.iter().filter(|row| row.tier == tier).map(|row| row.waiting).sum(),
-        free: slots.saturating_sub(sent),
+        free: slots.saturating_sub(in_flight),
     };
-    ranks.into_iter().map(sum).collect()
+    tiers.into_iter().map(load).collect()
 }
--- a/components/router/src/claim.rs
+++ b/components/router/src/claim.rs
@@ -1,4 +1,4 @@
-//! A keyed call's claim at this node as the home of its key.
+//! Claims a call's idempotency key at this node, which owns the key.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -8,55 +8,56 @@
 
 use crate::state::State;
 
-/// A read of the list is acted on for this long, so that two reads in a row may time out, at 3 s
-/// each with the pause after it. It is also how long a process may be paused without becoming a new
-/// home, and twice as long a new home refuses keys from before.
-const FRESH: Duration = Duration::from_secs(7);
+/// Time for which a read of the list of VMs is used. It lets two reads in a row time out, at 3 s each
+/// with the pause after it. It is also the longest pause of a process after which it doesn't count as
+/// a new owner; a new owner refuses keys from before for twice this time.
+const MAX_LIST_AGE: Duration = Duration::from_secs(7);
 
-/// The bounds of the settings in force.
-pub(crate) fn terms(state: &State) -> Option<Bounds> {
+/// Bounds of idempotency keys by the settings in force.
+pub(crate) fn bounds(state: &State) -> Option<Bounds> {
     let settings = state.settings()?;
     let limits = &settings.limits;
     let (key_window, clock_skew, list_lag) = (limits.key_window, limits.skew, limits.list_lag);
-    Some(Bounds { key_window, clock_skew, list_lag, max_read_age: FRESH })
+    Some(Bounds { key_window, clock_skew, list_lag, max_read_age: MAX_LIST_AGE })
 }
 
-/// A call that the home let through. Dropped without an ending, it may have run.
+/// A call that the key's owner allowed to run. Dropping it without a recorded outcome means that the
+/// call may have run.
 pub(crate) struct Claim {
     state: Rc<State>,
-    name: CallKey,
-    over: RefCell<bool>,
+    call: CallKey,
+    finished: RefCell<bool>,
 }
 
 impl Claim {
-    /// Asks this node as the home; the error says why the call isn't let through.
-    pub(crate) fn make(state: &Rc<State>, name: CallKey) -> Result<Self, Decision> {
-        let Some(terms) = terms(state) else { return Err(Decision::NotOwner) };
-        match state.home.borrow_mut().claim(&name, &terms, state.wall()) {
+    /// Claims the key at this node; the error says why the call mustn't run.
+    pub(crate) fn acquire(state: &Rc<State>, call: CallKey) -> Result<Self, Decision> {
+        let Some(bounds) = bounds(state) else { return Err(Decision::NotOwner) };
+        match state.key_owner.borrow_mut().claim(&call, &bounds, state.key_time()) {
             Decision::Run => {}
             answer => return Err(answer),
         }
-        Ok(Claim { state: state.clone(), name, over: RefCell::new(false) })
+        Ok(Claim { state: state.clone(), call, finished: RefCell::new(false) })
     }
 
-    /// Nothing of the call ran.
-    pub(crate) fn not_run(&self) {
-        self.over.replace(true);
-        self.state.home.borrow_mut().release(&self.name);
+    /// Releases the key, because nothing of the call ran.
+    pub(crate) fn release(&self) {
+        self.finished.replace(true);
+        self.state.key_owner.borrow_mut().release(&self.call);
     }
 
-    /// The whole answer went out.
-    pub(crate) fn complete(&self, kept: Option<StoredAnswer>) {
-        self.over.replace(true);
-        let record = Record::Complete(kept.map(Rc::new));
-        self.state.home.borrow_mut().record_outcome(&self.name, record);
+    /// Records that the call was answered completely; `stored` is the answer for duplicates of it.
+    pub(crate) fn complete(&self, stored: Option<StoredAnswer>) {
+        self.finished.replace(true);
+        let record = Record::Complete(stored.map(Rc::new));
+        self.state.key_owner.borrow_mut().record_outcome(&self.call, record);
     }
 }
 
 impl Drop for Claim {
     fn drop(&mut self) {
-        if !*self.over.borrow() {
-            self.state.home.borrow_mut().record_outcome(&self.name, Record::Unknown);
+        if !*self.finished.borrow() {
+            self.state.key_owner.borrow_mut().record_outcome(&self.call, Record::Unknown);
         }
     }
 }
--- a/components/router/src/engines.rs
+++ b/components/router/src/engines.rs
@@ -1,4 +1,4 @@
-//! Follows the engines: their load reports, asked for or heard from peers.
+//! Polls the engines for load reports, and passes these and the peers' reports to the scheduler.
 
 use std::rc::{Rc, Weak};
 use std::time::{Duration, Instant};
@@ -12,32 +12,37 @@
 use crate::peers::FRAMES_PERCENT;
 use crate::state::State;
 
-/// How often it is looked whom to ask.
-const LOOK: Duration = Duration::from_millis(500);
-/// An engine is given this long to answer.
-const ANSWER: Duration = Duration::from_millis(500);
-/// A report older than so many periods is asked for by everyone: whose turn it is may be deaf.
-const OVERDUE: u32 = 4;
+/// Pause between two checks which engines are due.
+const CHECK_INTERVAL: Duration = Duration::from_millis(500);
+/// Time for an engine to answer.
+const POLL_TIMEOUT: Duration = Duration::from_millis(500);
+/// Age of a report, in poll periods, from which on every node polls the engine: the node that should
+/// may be unable to reach it.
+const OVERDUE_PERIODS: u32 = 4;
 
 /// Starts the task; it ends with the router.
 pub(crate) fn start(state: &Rc<State>) {
-    actix_rt::spawn(follow(Rc::downgrade(state)));
+    actix_rt::spawn(poll_engines(Rc::downgrade(state)));
 }
 
-async fn follow(weak: Weak<State>) {
-    let mut asked: SecondaryMap<ids::Server, Instant> = SecondaryMap::new();
+async fn poll_engines(weak: Weak<State>) {
+    let mut polled: SecondaryMap<ids::Server, Instant> = SecondaryMap::new();
     loop {
         let Some(state) = weak.upgrade() else { return };
         if let Some(settings) = state.settings() {
-            asked.retain(|key, _| settings.servers.contains_key(key));
-            look(&state, &settings, &mut asked);
+            polled.retain(|key, _| settings.servers.contains_key(key));
+            poll_due(&state, &settings, &mut polled);
         }
         drop(state);
-        tokio::time::sleep(LOOK).await;
+        tokio::time::sleep(CHECK_INTERVAL).await;
     }
 }
 
-fn look(state: &Rc<State>, settings: &Effective, asked: &mut SecondaryMap<ids::Server, Instant>) {
+fn poll_due(
+    state: &Rc<State>,
+    settings: &Effective,
+    polled: &mut SecondaryMap<ids::Server, Instant>,
+) {
     let now = state.clock.now();
     let view = state.view.borrow();
     let own = wire::key(&state.node.name);
@@ -48,26 +53,26 @@
         cells.servers().filter_map(|(name, key)| Some((name, key, settings.servers.get(key)?)));
     let engines = used.filter(|(_, _, server)| server.kind == ServerKind::Engine);
     let engines: Vec<_> = engines.map(|(name, key, s)| (key, name, &s.address)).collect();
-    let mine = |name: u32| polling::is_poller(own, alive.iter().copied(), name);
-    let count = engines.iter().filter(|(_, name, _)| mine(*name)).count();
+    let is_poller = |name: u32| polling::is_poller(own, alive.iter().copied(), name);
+    let count = engines.iter().filter(|(_, name, _)| is_poller(*name)).count();
     let bytes = settings.limits.control_bytes * (100 - FRAMES_PERCENT) / 100;
     let period = polling::poll_period(count, bytes);
     for (key, name, address) in engines {
-        let due = asked.get(key).is_none_or(|at| now - *at >= period);
-        let held = view.loads().find(|reported| reported.load.server == name);
-        let overdue = held.is_none_or(|held| now - held.measured_at > period * OVERDUE);
-        if due && (overdue || mine(name)) {
-            asked.insert(key, now);
-            actix_rt::spawn(ask(state.clone(), name, address.clone()));
+        let due = polled.get(key).is_none_or(|at| now - *at >= period);
+        let last = view.loads().find(|reported| reported.load.server == name);
+        let overdue = last.is_none_or(|last| now - last.measured_at > period * OVERDUE_PERIODS);
+        if due && (overdue || is_poller(name)) {
+            polled.insert(key, now);
+            actix_rt::spawn(poll(state.clone(), name, address.clone()));
         }
     }
 }
 
-async fn ask(state: Rc<State>, server: u32, address: String) {
-    let engines = state.engines.borrow().clone();
-    let Ok(load) = engines.load(&address, ANSWER).await else { return };
+async fn poll(state: Rc<State>, server: u32, address: String) {
+    let engines = state.engine_client.borrow().clone();
+    let Ok(load) = engines.load(&address, POLL_TIMEOUT).await else { return };
     let now = state.clock.now();
-    let reported = LoadReport {
+    let report = LoadReport {
         measured_at: now.checked_sub(Duration::from_millis(load.age_ms)).unwrap_or(now),
         load: wire::Load {
             server,
@@ -79,14 +84,14 @@
             leaving: load.leaving,
         },
     };
-    if state.view.borrow_mut().record_load(reported) {
-        take(&state, &reported);
+    if state.view.borrow_mut().record_load(report) {
+        apply_report(&state, &report);
         state.driver.run_actions();
     }
 }
 
-/// Hands a report to the decisions.
-pub(crate) fn take(state: &State, reported: &LoadReport) {
+/// Passes a report to the scheduler, if this node uses the engine.
+pub(crate) fn apply_report(state: &State, reported: &LoadReport) {
     let load = &reported.load;
     let Some(key) = state.cells.borrow().server(load.server) else { return };
     let report = Report {
--- a/components/router/src/handover.rs
+++ b/components/router/src/handover.rs
@@ -1,5 +1,5 @@
-//! Hands the calls that a leaving home let through to the homes after it, so that a repeated call
-//! is told what became of it.
+//! Hands the records of idempotency keys over from a leaving owner to the next owners, so that a
+//! duplicate of a call still gets the outcome of the first.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -13,27 +13,27 @@
 use crate::peers;
 use crate::state::State;
 
-/// Path of a handover on the peers' listener.
+/// Path of a handover at the listener for peers.
 pub(crate) const PATH: &str = "/handover";
 /// Calls in one frame.
-const BATCH: usize = 200;
-/// Largest frame: a batch with the longest answer that is kept each.
-const LARGEST: usize = 2 << 20;
-/// Time for a home to take a frame; one that doesn't refuses the keys by their issue time.
-const ANSWER: Duration = Duration::from_secs(1);
+const BATCH_SIZE: usize = 200;
+/// Largest frame: a batch of calls, each with the longest answer that is stored.
+const MAX_FRAME_BYTES: usize = 2 << 20;
+/// Time for an owner to accept a frame. One that doesn't refuses the keys by their issue time.
+const TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Sends all calls to the homes after this one.
+/// Sends the records of all calls to the next owners of their keys.
 pub(crate) async fn send(state: &Rc<State>) {
     let mut all: BTreeMap<Member, Vec<handover::Call>> = BTreeMap::new();
-    for (member, name, record) in state.home.borrow().handover() {
-        all.entry(member).or_default().push(call(name, record));
+    for (member, name, record) in state.key_owner.borrow().handover() {
+        all.entry(member).or_default().push(encode_call(name, record));
     }
     for (member, calls) in all {
-        for batch in calls.chunks(BATCH) {
+        for batch in calls.chunks(BATCH_SIZE) {
             let frame = Handover { calls: batch.to_vec() }.encode();
             let url = format!("http://{}{PATH}", member.address);
-            let request = state.http.post(url).timeout(ANSWER);
-            let request = request.insert_header((peers::SECRET, state.node.secret.clone()));
+            let request = state.peer_client.post(url).timeout(TIMEOUT);
+            let request = request.insert_header((peers::SECRET_HEADER, state.node.secret.clone()));
             if let Err(cause) = request.send_body(frame).await {
                 log::warn!(home = member.name.as_str(), cause:% = cause; "handover failed");
                 break;
@@ -42,28 +42,28 @@
     }
 }
 
-fn call(name: CallKey, record: Record) -> handover::Call {
+fn encode_call(name: CallKey, record: Record) -> handover::Call {
     let answer = match record {
-        Record::Complete(Some(kept)) => Some(handover::Answer {
-            status: kept.status,
-            media: kept.media.clone(),
-            body: kept.body.clone(),
+        Record::Complete(Some(stored)) => Some(handover::Answer {
+            status: stored.status,
+            media: stored.media.clone(),
+            body: stored.body.clone(),
         }),
         _ => None,
     };
     handover::Call { workspace: name.workspace, key: name.key.to_string(), answer }
 }
 
-/// Takes calls in that another home let through.
+/// Accepts the records of calls that a leaving owner allowed to run.
 pub(crate) async fn handle(state: Rc<State>, mut request: Request) -> Answer {
-    let body = match listen::read_body(&mut request, LARGEST).await {
+    let body = match listen::read_body(&mut request, MAX_FRAME_BYTES).await {
         Ok(body) => body,
-        Err(unread) => return unread.response(),
+        Err(error) => return error.response(),
     };
     let Ok(handover) = Handover::decode(&body) else {
         return Response::new(StatusCode::BAD_REQUEST).map_into_boxed_body();
     };
-    let mut home = state.home.borrow_mut();
+    let mut owner = state.key_owner.borrow_mut();
     for call in handover.calls {
         let Ok(key) = ids::Request::parse(&call.key) else { continue };
         let record = match call.answer {
@@ -72,7 +72,7 @@
             }
             None => Record::Unknown,
         };
-        home.accept_handover(CallKey { workspace: call.workspace, key }, record);
+        owner.accept_handover(CallKey { workspace: call.workspace, key }, record);
     }
     Response::new(StatusCode::OK).map_into_boxed_body()
 }
--- a/components/router/src/lib.rs
+++ b/components/router/src/lib.rs
@@ -1,25 +1,26 @@
-//! The router's process: listeners for callers, peers and operators, and the tasks that follow the
-//! platform. One thread carries it all, so its state needs no locks.
+//! Runs a router: the listeners for callers, peers and operators, and the tasks that follow the
+//! configuration service, the list of VMs, the peers and the engines. All of it runs on one thread,
+//! so that the shared state needs no locks.
 
 mod answer;
 mod callers;
 mod cells;
 mod claim;
 mod engines;
-mod follow;
 mod handover;
-mod intake;
 mod keyed;
 mod operators;
 mod orders;
 mod peers;
-mod place;
 mod relay;
+mod request;
 mod revisions;
+mod scheduler;
 mod shares;
 mod state;
 mod stream;
-mod terms;
+mod submission;
+mod vm_list;
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -31,10 +32,10 @@
 
 use crate::state::State;
 
-/// Time that listeners stay open once readiness is gone, when there are no settings to say it.
-const BALANCER: Duration = Duration::from_secs(3);
-/// Requests that a log of what was cut names one by one.
-const NAMED: usize = 1_000;
+/// Time that listeners stay open after the node stops being ready, while there are no settings.
+const DEFAULT_BALANCER_DELAY: Duration = Duration::from_secs(3);
+/// Most aborted requests that are logged one by one.
+const MAX_LOGGED_ABORTS: usize = 1_000;
 
 /// A running router.
 pub struct Router {
@@ -45,25 +46,31 @@
 }
 
 impl Router {
-    /// Starts a router with a node's own settings. It is ready once it has settings.
+    /// Starts a router with a node's own settings; it is ready once it has read the deployment's.
+    ///
+    /// # Errors
+    /// When one of its addresses can't be bound.
     pub async fn start(node: Node) -> anyhow::Result<Self> {
-        let own = || watch::channel(Limits::default()).1;
+        let default_limits = || watch::channel(Limits::default()).1;
         let (callers, peers, operators) = (node.callers, node.peers, node.operators);
         let state = State::new(node);
         let shared = state.clone();
         let handler = move |request| callers::handle(shared.clone(), request);
         let callers =
-            Listener::open_named("callers", callers, state.limits.subscribe(), handler).await?;
+            Listener::open_named("callers", callers, state.listener_limits.subscribe(), handler)
+                .await?;
         let shared = state.clone();
         let handler = move |request| peers::handle(shared.clone(), request);
-        let peers = Listener::open_named("peers", peers, own(), handler).await?;
-        *state.address.borrow_mut() = peers.address().to_string();
+        let peers = Listener::open_named("peers", peers, default_limits(), handler).await?;
+        *state.peer_address.borrow_mut() = peers.address().to_string();
         let (name, address) = (state.node.name.clone(), peers.address().to_string());
-        *state.home.borrow_mut() = idempotency::Owner::new(idempotency::Member { name, address });
+        *state.key_owner.borrow_mut() =
+            idempotency::Owner::new(idempotency::Member { name, address });
         let shared = state.clone();
         let handler = move |request| operators::handle(shared.clone(), request);
-        let operators = Listener::open_named("operators", operators, own(), handler).await?;
-        follow::start(&state);
+        let operators =
+            Listener::open_named("operators", operators, default_limits(), handler).await?;
+        vm_list::start(&state);
         revisions::start(&state);
         engines::start(&state);
         peers::start(&state);
@@ -72,24 +79,24 @@
         Ok(Router { state, callers, peers, operators })
     }
 
-    /// Where callers reach it.
-    pub fn callers(&self) -> SocketAddr {
+    /// Address of the listener for callers.
+    pub fn caller_address(&self) -> SocketAddr {
         self.callers.address()
     }
 
-    /// Where peers reach it.
-    pub fn peers(&self) -> SocketAddr {
+    /// Address of the listener for peers.
+    pub fn peer_address(&self) -> SocketAddr {
         self.peers.address()
     }
 
-    /// Where operators reach it.
-    pub fn operators(&self) -> SocketAddr {
+    /// Address of the listener for operators.
+    pub fn operator_address(&self) -> SocketAddr {
         self.operators.address()
     }
 
-    /// Whether it has settings and isn't draining.
-    pub fn ready(&self) -> bool {
-        self.state.ready()
+    /// Whether it has settings that aren't in doubt after a pause of the process, and isn't draining.
+    pub fn is_ready(&self) -> bool {
+        self.state.is_ready()
     }
 
     /// Revision of the settings in force.
@@ -97,38 +104,39 @@
         self.state.settings().map(|settings| settings.revision)
     }
 
-    /// Requests that were received and haven't been answered to the end.
-    pub fn held(&self) -> usize {
-        self.state.held()
+    /// Number of requests that were received and haven't been answered completely.
+    pub fn open_requests(&self) -> usize {
+        self.state.open_requests()
     }
 
-    /// Goes down without cutting a request: readiness goes first, listeners stay open until the
-    /// balancer has noticed, and what is in flight is answered within the grace of the settings.
-    /// Returns the requests that were cut.
+    /// Shuts down gracefully: the node stops being ready, its listeners stay open until the load
+    /// balancer has noticed, and requests in progress are answered within the settings' grace period.
+    /// Returns the requests that were aborted after it.
     pub async fn drain(&self) -> Vec<ids::Request> {
         self.state.draining.set(true);
         self.callers.drain();
         let limits = self.state.settings().map(|settings| settings.limits.clone());
-        let balancer = limits.as_ref().map_or(BALANCER, |limits| limits.balancer);
+        let balancer_delay =
+            limits.as_ref().map_or(DEFAULT_BALANCER_DELAY, |limits| limits.balancer);
         let grace = limits.as_ref().map_or(Duration::ZERO, |limits| limits.grace);
-        tokio::time::sleep(balancer).await;
+        tokio::time::sleep(balancer_delay).await;
         let answered = async {
             self.callers.close().await;
-            // A request that may not be repeated outlives its caller's connection.
-            self.state.idle().await;
+            // A request that must not run twice goes on when its caller's connection ends.
+            self.state.wait_until_idle().await;
         };
         let _ = tokio::time::timeout(grace, answered).await;
         handover::send(&self.state).await;
-        self.cut()
+        self.abort()
     }
 
-    /// Cuts all callers' connections; returns the requests that were cut.
-    pub fn cut(&self) -> Vec<ids::Request> {
-        let cut = self.state.held_ids();
-        for id in cut.iter().take(NAMED) {
+    /// Closes all callers' connections at once; returns the requests that were aborted.
+    pub fn abort(&self) -> Vec<ids::Request> {
+        let aborted = self.state.open_request_ids();
+        for id in aborted.iter().take(MAX_LOGGED_ABORTS) {
             log::warn!(request:% = id; "cut");
         }
         self.callers.abort();
-        cut
+        aborted
     }
 }
--- a/components/router/src/operators.rs
+++ b/components/router/src/operators.rs
@@ -1,4 +1,4 @@
-//! The operators' interface: health, metrics and status.
+//! Serves operators: health, readiness, metrics and status.
 
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -12,14 +12,15 @@
 use crate::answer::{self, Answer};
 use crate::state::State;
 
-/// A peer heard within this time counts as heard: six exchanges, as for the decisions.
-const LATELY: Duration = Duration::from_secs(3);
+/// Time within which a peer's frame must have been received for the peer to count as reachable: six
+/// exchanges, the same as for its share of slots.
+const PEER_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// Answers one operator's request.
 pub(crate) async fn handle(state: Rc<State>, request: Request) -> Answer {
     match request.path() {
         "/healthz" => text(StatusCode::OK, "alive\n"),
-        "/readyz" if state.ready() => text(StatusCode::OK, "ready\n"),
+        "/readyz" if state.is_ready() => text(StatusCode::OK, "ready\n"),
         "/readyz" => text(StatusCode::SERVICE_UNAVAILABLE, "no settings yet, or draining\n"),
         "/metrics" => text(StatusCode::OK, metrics(&state)),
         "/status" => answer::json(StatusCode::OK, &status(&state)),
@@ -34,14 +35,14 @@
 fn metrics(state: &State) -> String {
     let now = state.clock.now();
     let view = state.view.borrow();
-    let heard = |at: Instant| now.saturating_duration_since(at) < LATELY;
+    let is_recent = |at: Instant| now.saturating_duration_since(at) < PEER_TIMEOUT;
     let peers =
-        view.members().filter(|(_, member)| member.last_received.is_some_and(heard)).count();
+        view.members().filter(|(_, member)| member.last_received.is_some_and(is_recent)).count();
     let settings = state.settings();
     state.metrics.peers(peers);
-    let held = state.driver.scheduler.borrow().current_demand();
+    let demand = state.driver.scheduler.borrow().current_demand();
     for (key, class) in settings.iter().flat_map(|settings| &settings.classes) {
-        let work = held.iter().find(|work| work.class == key);
+        let work = demand.iter().find(|work| work.class == key);
         let (waiting, sent) = work.map_or((0, 0), |work| (work.waiting, work.sent));
         state.metrics.work(&class.name, waiting, sent);
     }
@@ -56,11 +57,11 @@
     let servers = settings.iter().flat_map(|settings| &settings.servers);
     let servers = servers.map(|(key, server)| {
         let peers = view.peers_in_flight(&server.name, now);
-        self::server(server, scheduler.status(key, now), peers)
+        server_status(server, scheduler.status(key, now), peers)
     });
-    let held = scheduler.current_demand();
+    let demand = scheduler.current_demand();
     let classes = settings.iter().flat_map(|settings| &settings.classes).map(|(key, class)| {
-        let work = held.iter().find(|work| work.class == key);
+        let work = demand.iter().find(|work| work.class == key);
         json!({
             "name": class.name,
             "waiting": work.map_or(0, |work| work.waiting),
@@ -68,18 +69,18 @@
         })
     });
     let members = view.members().map(|(name, member)| {
-        let silent = member.last_received.map(|at| ms(now.saturating_duration_since(at)));
-        json!({"name": name, "address": member.address, "heard_ms_ago": silent})
+        let age = member.last_received.map(|at| millis(now.saturating_duration_since(at)));
+        json!({"name": name, "address": member.address, "heard_ms_ago": age})
     });
     json!({
         "node": state.node.name,
-        "ready": state.ready(),
+        "ready": state.is_ready(),
         "draining": state.draining.get(),
         "revision": settings.as_ref().map(|s| s.revision),
         "digest": settings.as_ref().map(|s| format!("{:016x}", s.digest)),
-        "refused": *state.refused.borrow(),
+        "refused": *state.refusal.borrow(),
         "settings": state.revisions.status(&state.node.name, &state.node.domain, now),
-        "held": state.held(),
+        "held": state.open_requests(),
         "waiting": scheduler.waiting(),
         "classes": classes.collect::<Vec<_>>(),
         "servers": servers.collect::<Vec<_>>(),
@@ -87,8 +88,8 @@
     })
 }
 
-/// What this node believes of a backend server, and how old that is.
-fn server(server: &Server, status: Option<Status>, peers: u32) -> serde_json::Value {
+/// What this node knows of a backend server, and the age of its last load report.
+fn server_status(server: &Server, status: Option<Status>, peers: u32) -> serde_json::Value {
     let Some(status) = status else {
         return json!({"name": server.name, "unused": "not known to the decisions yet"});
     };
@@ -98,12 +99,12 @@
         "in_flight_at_peers": peers,
         "places": status.slots,
         "load": (status.load * 100.0).round() / 100.0,
-        "token_interval_ms": ms(status.interval),
-        "reported_ms_ago": status.age.map(ms),
+        "token_interval_ms": millis(status.interval),
+        "reported_ms_ago": status.age.map(millis),
         "unused": status.unused.map(|unused| unused.as_str()),
     })
 }
 
-fn ms(time: Duration) -> u64 {
+fn millis(time: Duration) -> u64 {
     time.as_millis() as u64
 }
--- a/components/router/src/orders.rs
+++ b/components/router/src/orders.rs
@@ -1,6 +1,8 @@
-//! Gives engines their orders, when this node is the issuer of its cell, and says which engines
-//! must get no new work until they show what is wanted. Engines for which the settings name a
-//! version or adapters take orders; what others hold is nobody's business.
+//! Sends orders to load models and adapters to the engines, if this node is the issuer of its cell, and
+//! determines which engines must get no new requests until they have what the settings want.
+//!
+//! Only engines for which the settings name a version or adapters get orders; the content of the others
+//! isn't managed.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::{Rc, Weak};
@@ -14,127 +16,136 @@
 
 use crate::state::State;
 
-/// How often an issuer looks.
-const LOOK: Duration = Duration::from_secs(1);
-/// How often an engine is read that shows something else than is wanted.
-const READ: Duration = Duration::from_secs(5);
-/// How often one is read that shows what is wanted: it may restart with something else.
-const CHECK: Duration = Duration::from_secs(60);
-/// An engine answers within this.
-const ANSWER: Duration = Duration::from_secs(1);
-/// Taken for the weights of a model whose engine can't tell: a middling one.
-const WEIGHTS: u64 = 8 << 30;
+/// Pause between two rounds of an issuer.
+const ROUND_INTERVAL: Duration = Duration::from_secs(1);
+/// Interval at which an engine is read whose content isn't as wanted.
+const PENDING_READ_INTERVAL: Duration = Duration::from_secs(5);
+/// Interval at which an engine is read whose content is as wanted: it may restart with other content.
+const SATISFIED_READ_INTERVAL: Duration = Duration::from_secs(60);
+/// Time for an engine to answer.
+const TIMEOUT: Duration = Duration::from_secs(1);
+/// Size assumed of a load by an engine that doesn't report it; that of a medium-sized model.
+const DEFAULT_LOAD_BYTES: u64 = 8 << 30;
 
 /// Starts the task; it ends with the router.
 pub(crate) fn start(state: &Rc<State>) {
-    actix_rt::spawn(follow(Rc::downgrade(state)));
+    actix_rt::spawn(run(Rc::downgrade(state)));
 }
 
+/// The last read of an engine's content; `None` if it failed.
 #[derive(Clone)]
-struct Seen {
+struct LastRead {
     at: Instant,
     content: Option<Content>,
 }
 
-async fn follow(weak: Weak<State>) {
-    let client = Orders::new(ANSWER);
-    let mut seen: BTreeMap<u32, Seen> = BTreeMap::new();
+async fn run(weak: Weak<State>) {
+    let client = Orders::new(TIMEOUT);
+    let mut last_reads: BTreeMap<u32, LastRead> = BTreeMap::new();
     let mut issuer = None;
     loop {
         let Some(state) = weak.upgrade() else { return };
-        match state.settings().filter(|_| issues(&state)) {
-            Some(settings) => look(&state, &settings, &client, &mut seen, &mut issuer).await,
+        match state.settings().filter(|_| is_issuer(&state)) {
+            Some(settings) => {
+                run_round(&state, &settings, &client, &mut last_reads, &mut issuer).await
+            }
             None => {
-                seen.clear();
+                last_reads.clear();
                 issuer = None;
-                state.unfit.borrow_mut().clear();
+                state.unroutable.borrow_mut().clear();
             }
         }
         drop(state);
-        tokio::time::sleep(LOOK).await;
+        tokio::time::sleep(ROUND_INTERVAL).await;
     }
 }
 
 /// Whether this node is the issuer of its cell, as far as it knows.
-fn issues(state: &State) -> bool {
+fn is_issuer(state: &State) -> bool {
     let now = state.clock.now();
     let view = state.view.borrow();
     let alive = view.cell_peers().filter(|(_, m)| view.status(m, now) == MemberStatus::Alive);
     let alive = alive.filter(|(_, member)| !member.is_leaving()).map(|(_, member)| member.key);
-    let cell = wire::key(&format!("orders of cell {}", state.cells.borrow().own()));
+    let cell = wire::key(&format!("orders of cell {}", state.cells.borrow().own_cell()));
     !state.draining.get() && polling::is_poller(wire::key(&state.node.name), alive, cell)
 }
 
-async fn look(
+async fn run_round(
     state: &State,
     settings: &Effective,
     client: &Orders,
-    seen: &mut BTreeMap<u32, Seen>,
+    last_reads: &mut BTreeMap<u32, LastRead>,
     issuer: &mut Option<Issuer>,
 ) {
-    let ordered = ordered(state, settings);
-    seen.retain(|name, _| ordered.contains_key(name));
-    read(state, settings, client, &ordered, seen).await;
+    let ordered = ordered_engines(state, settings);
+    last_reads.retain(|name, _| ordered.contains_key(name));
+    read_contents(state, settings, client, &ordered, last_reads).await;
     let engines: Vec<_> =
-        ordered.iter().map(|(name, server)| engine(*name, server, settings, seen)).collect();
+        ordered.iter().map(|(name, server)| engine(*name, server, settings, last_reads)).collect();
     let now = state.clock.now();
-    let limits = limits(state, settings);
+    let limits = cell_limits(state, settings);
     let issuer = issuer.get_or_insert_with(|| Issuer::new(limits, now));
     for order in issuer.issue_orders(&engines, settings.revision, limits, now) {
         let server = order.server;
-        if !give(client, &ordered[&server], order).await {
+        if !send_order(client, &ordered[&server], order).await {
             issuer.record_failure(server);
         }
     }
     let changing: BTreeSet<u32> = issuer.changing().collect();
-    let unfit = engines.iter().filter(|engine| {
+    let unroutable = engines.iter().filter(|engine| {
         let fenced = ordered[&engine.server].fenced;
         !orders::is_routable(engine, fenced, changing.contains(&engine.server))
     });
-    *state.unfit.borrow_mut() = unfit.map(|engine| engine.server).collect();
+    *state.unroutable.borrow_mut() = unroutable.map(|engine| engine.server).collect();
 }
 
-/// The cell's engines that take orders.
-fn ordered(state: &State, settings: &Effective) -> BTreeMap<u32, Rc<Server>> {
+/// The engines that this node uses and that get orders.
+fn ordered_engines(state: &State, settings: &Effective) -> BTreeMap<u32, Rc<Server>> {
     let cells = state.cells.borrow();
     let used = cells.servers().filter_map(|(name, key)| Some((name, settings.servers.get(key)?)));
     let engines = used.filter(|(_, server)| {
-        let named = server.version.is_some() || !server.adapters.is_empty();
-        server.kind == ServerKind::Engine && named
+        let is_managed = server.version.is_some() || !server.adapters.is_empty();
+        server.kind == ServerKind::Engine && is_managed
     });
     engines.map(|(name, server)| (name, server.clone())).collect()
 }
 
-async fn read(
+/// Reads the content of the engines that are due.
+async fn read_contents(
     state: &State,
     settings: &Effective,
     client: &Orders,
     ordered: &BTreeMap<u32, Rc<Server>>,
-    seen: &mut BTreeMap<u32, Seen>,
+    last_reads: &mut BTreeMap<u32, LastRead>,
 ) {
     for (name, server) in ordered {
         let now = state.clock.now();
-        let met = {
-            let engine = engine(*name, server, settings, seen);
+        let satisfied = {
+            let engine = engine(*name, server, settings, last_reads);
             engine.shown.is_some_and(|shown| shown.satisfies(&engine.wanted))
         };
-        let period = if met { CHECK } else { READ };
-        if seen.get(name).is_some_and(|seen| now - seen.at < period) {
+        let period = if satisfied { SATISFIED_READ_INTERVAL } else { PENDING_READ_INTERVAL };
+        if last_reads.get(name).is_some_and(|read| now - read.at < period) {
             continue;
         }
         let content = match client.content(&server.address).await {
             Ok(content) => Some(content),
             Err(cause) => {
-                log::warn!(server = server.name.as_str(), cause:% = cause; "can't read what it holds");
+                log::warn!(server = server.name.as_str(), cause:% = cause; "failed to read the engine's content");
                 None
             }
         };
-        seen.insert(*name, Seen { at: now, content });
+        last_reads.insert(*name, LastRead { at: now, content });
     }
 }
 
-fn engine(name: u32, server: &Server, settings: &Effective, seen: &BTreeMap<u32, Seen>) -> Engine {
-    let content = seen.get(&name).and_then(|seen| seen.content.as_ref());
+fn engine(
+    name: u32,
+    server: &Server,
+    settings: &Effective,
+    last_reads: &BTreeMap<u32, LastRead>,
+) -> Engine {
+    let content = last_reads.get(&name).and_then(|read| read.content.as_ref());
     let models = server.models.iter().map(|model| settings.model_names.name(*model).to_string());
     let role = match server.role {
         Role::Mixed => "mixed",
@@ -158,12 +169,12 @@
         },
         shown,
         accepted_fence: content.and_then(|content| content.fence),
-        load_bytes: if bytes == 0 { WEIGHTS } else { bytes },
+        load_bytes: if bytes == 0 { DEFAULT_LOAD_BYTES } else { bytes },
     }
 }
 
-/// The cell's part of what the deployment may load.
-fn limits(state: &State, settings: &Effective) -> Limits {
+/// The limits on loads, of which the rate of reads from the store is divided among the cells.
+fn cell_limits(state: &State, settings: &Effective) -> Limits {
     let cells = u64::from(state.cells.borrow().count().max(1));
     Limits {
         change_percent: settings.limits.change_percent,
@@ -171,8 +182,8 @@
     }
 }
 
-/// Gives an order; returns whether the engine answered.
-async fn give(client: &Orders, server: &Server, order: Order) -> bool {
+/// Sends an order; returns whether the engine answered.
+async fn send_order(client: &Orders, server: &Server, order: Order) -> bool {
     let content = Content {
         models: order.wanted.models.into_iter().collect(),
         adapters: order.wanted.adapters.into_iter().collect(),
@@ -182,11 +193,15 @@
         load_bytes: 0,
     };
     let name = server.name.as_str();
-    let given = client.give(&server.address, &content).await;
-    match &given {
+    let reply = client.give(&server.address, &content).await;
+    match &reply {
         Ok(Taken::Yes) => log::info!(server = name, fence = order.fence; "ordered"),
-        Ok(Taken::Old) => log::warn!(server = name, fence = order.fence; "order refused as old"),
-        Err(cause) => log::warn!(server = name, cause:% = cause; "order not given"),
+        Ok(Taken::Old) => {
+            log::warn!(server = name, fence = order.fence; "engine rejected an outdated order")
+        }
+        Err(cause) => {
+            log::warn!(server = name, cause:% = cause; "failed to send an order to the engine")
+        }
     }
-    given.is_ok()
+    reply.is_ok()
 }
--- a/components/router/src/peers.rs
+++ b/components/router/src/peers.rs
@@ -1,4 +1,5 @@
-//! Carries frames between routers. A frame without the shared secret is refused.
+//! Exchanges gossip frames with the other routers and serves their other calls. Requests without the
+//! shared secret are rejected.
 
 use std::rc::{Rc, Weak};
 use std::time::Duration;
@@ -16,49 +17,51 @@
 use crate::state::State;
 use crate::{cells, engines, handover, keyed, shares};
 
-pub(crate) const SECRET: &str = "x-peer-secret";
-/// Time between two exchanges until settings say otherwise.
-const EXCHANGE: Duration = Duration::from_millis(500);
-/// A peer that hasn't answered within this is tried again in its turn.
-const ANSWER: Duration = Duration::from_secs(1);
-/// Largest frame taken in.
-const LARGEST: usize = 64 << 10;
-/// Part of the bytes for control that frames may take, in percent; load reports take the rest.
+/// Header with the nodes' shared secret.
+pub(crate) const SECRET_HEADER: &str = "x-peer-secret";
+/// Time between two exchanges until there are settings.
+const DEFAULT_EXCHANGE_PERIOD: Duration = Duration::from_millis(500);
+/// Time for a peer to answer; one that doesn't is tried again when it is its turn.
+const TIMEOUT: Duration = Duration::from_secs(1);
+/// Largest frame that is accepted.
+const MAX_FRAME_BYTES: usize = 64 << 10;
+/// Percentage of the rate for control traffic that frames may use; polls of load reports use the rest.
 pub(crate) const FRAMES_PERCENT: u32 = 60;
 
-/// Starts the exchange; it ends with the router.
+/// Starts the exchange of frames; it ends with the router.
 pub(crate) fn start(state: &Rc<State>) {
-    actix_rt::spawn(exchange(Rc::downgrade(state)));
+    actix_rt::spawn(exchange_frames(Rc::downgrade(state)));
 }
 
-/// Answers a peer's frame with one's own.
+/// Answers a peer's request; a frame is answered with this node's own.
 pub(crate) async fn handle(state: Rc<State>, mut request: Request) -> Answer {
-    let given = request.headers().get(SECRET).map(|value| value.as_bytes()).unwrap_or_default();
-    if !bool::from(given.ct_eq(state.node.secret.as_bytes())) {
+    let secret =
+        request.headers().get(SECRET_HEADER).map(|value| value.as_bytes()).unwrap_or_default();
+    if !bool::from(secret.ct_eq(state.node.secret.as_bytes())) {
         return Response::new(StatusCode::FORBIDDEN).map_into_boxed_body();
     }
     match request.path() {
-        keyed::CALL => return keyed::handle(state, request).await,
+        keyed::PATH => return keyed::handle(state, request).await,
         handover::PATH => return handover::handle(state, request).await,
-        path if path.starts_with(revisions::PREFIX) => {
+        path if path.starts_with(revisions::PATH_PREFIX) => {
             return revisions::handle(state, &request).await;
         }
         _ => {}
     }
-    let body = match listen::read_body(&mut request, LARGEST).await {
+    let body = match listen::read_body(&mut request, MAX_FRAME_BYTES).await {
         Ok(body) => body,
-        Err(unread) => return unread.response(),
+        Err(error) => return error.response(),
     };
     let theirs = match Frame::decode(&body) {
         Ok(theirs) => theirs,
         Err(cause) => {
-            log::warn!(cause:% = cause; "bad frame");
+            log::warn!(cause:% = cause; "peer sent a malformed frame");
             return Response::new(StatusCode::BAD_REQUEST).map_into_boxed_body();
         }
     };
     let peer = theirs.from.clone();
-    heard(&state, theirs);
-    let frame = frame(&state, &peer);
+    receive(&state, theirs);
+    let frame = build_frame(&state, &peer);
     let bytes = frame.encode();
     let mut exchange = state.exchange.borrow_mut();
     exchange.record_sent(bytes.len() + ANSWER_OVERHEAD_BYTES);
@@ -66,19 +69,20 @@
     Response::build(StatusCode::OK).body(bytes).map_into_boxed_body()
 }
 
-fn heard(state: &State, theirs: Frame) {
+/// Applies a peer's frame, and passes new load reports in it to the scheduler.
+fn receive(state: &State, theirs: Frame) {
     if theirs.from == state.node.name {
         return;
     }
     let mut view = state.view.borrow_mut();
     view.receive(theirs, state.clock.now());
-    let news = view.take_load_updates();
+    let updates = view.take_load_updates();
     drop(view);
-    news.iter().for_each(|reported| engines::take(state, reported));
+    updates.iter().for_each(|report| engines::apply_report(state, report));
 }
 
-/// What this node tells of itself now.
-pub(crate) fn own(state: &State) -> LocalState {
+/// What this node reports of itself to its peers.
+pub(crate) fn local_state(state: &State) -> LocalState {
     let settings = state.settings();
     let scheduler = state.driver.scheduler.borrow();
     let cells = state.cells.borrow();
@@ -101,7 +105,7 @@
     }
     LocalState {
         name: state.node.name.clone(),
-        address: state.address.borrow().clone(),
+        address: state.peer_address.borrow().clone(),
         domain: state.node.domain.clone(),
         incarnation: state.incarnation,
         revision: settings.as_ref().map_or(0, |settings| settings.revision),
@@ -109,14 +113,14 @@
         leaving: state.draining.get(),
         in_flight: counts.filter(|row| row.count > 0).collect(),
         demand,
-        queued: waits(settings.as_deref(), &scheduler),
-        workspaces: workspaces(settings.as_deref(), &scheduler),
-        suspects: state.unfit.borrow().iter().copied().collect(),
+        queued: queued_requests(settings.as_deref(), &scheduler),
+        workspaces: workspaces_in_flight(settings.as_deref(), &scheduler),
+        suspects: state.unroutable.borrow().iter().copied().collect(),
         cells: vec![],
     }
 }
 
-fn waits(settings: Option<&Effective>, scheduler: &Scheduler) -> Vec<wire::Queued> {
+fn queued_requests(settings: Option<&Effective>, scheduler: &Scheduler) -> Vec<wire::Queued> {
     let Some(settings) = settings else { return vec![] };
     let row = |wait: policy::Wait| wire::Queued {
         model: wire::key(settings.model_names.name(wait.model)),
@@ -126,7 +130,7 @@
     scheduler.waits_by_model().into_iter().map(row).collect()
 }
 
-fn workspaces(settings: Option<&Effective>, scheduler: &Scheduler) -> Vec<InFlight> {
+fn workspaces_in_flight(settings: Option<&Effective>, scheduler: &Scheduler) -> Vec<InFlight> {
     let all = settings.iter().flat_map(|settings| &settings.workspaces);
     let limited = all.filter(|(_, workspace)| workspace.in_flight < u32::MAX);
     let counts = limited.map(|(key, workspace)| (workspace, scheduler.in_flight(key)));
@@ -134,30 +138,32 @@
     busy.map(|(workspace, count)| InFlight { key: wire::key(&workspace.name), count }).collect()
 }
 
-fn frame(state: &State, to: &str) -> Frame {
-    let mut own = own(state);
-    own.cells = cells::sum(state, &own);
+fn build_frame(state: &State, to: &str) -> Frame {
+    let mut own = local_state(state);
+    own.cells = cells::load_by_tier(state, &own);
     let view = state.view.borrow();
     state.exchange.borrow_mut().build_frame(&own, to, &view, state.clock.now())
 }
 
-async fn exchange(weak: Weak<State>) {
+async fn exchange_frames(weak: Weak<State>) {
     loop {
         let Some(state) = weak.upgrade() else { return };
-        let period = state.settings().map_or(EXCHANGE, |settings| settings.limits.exchange);
-        cells::follow(&state);
-        let own = own(&state);
-        for target in targets(&state, &own, period) {
-            actix_rt::spawn(tell(state.clone(), target));
+        let period =
+            state.settings().map_or(DEFAULT_EXCHANGE_PERIOD, |settings| settings.limits.exchange);
+        cells::update(&state);
+        let own = local_state(&state);
+        for target in next_targets(&state, &own, period) {
+            actix_rt::spawn(send_frame(state.clone(), target));
         }
-        shares::apply(&state, &own);
+        shares::update(&state, &own);
         state.driver.run_actions();
         drop(state);
         tokio::time::sleep(period).await;
     }
 }
 
-fn targets(state: &State, own: &LocalState, period: Duration) -> Vec<Target> {
+/// The peers to send a frame to now; the configured seeds while no peer is known.
+fn next_targets(state: &State, own: &LocalState, period: Duration) -> Vec<Target> {
     let now = state.clock.now();
     let mut view = state.view.borrow_mut();
     view.record_tick(now, period);
@@ -174,17 +180,18 @@
     exchange.next_targets(own, &view, now)
 }
 
-async fn tell(state: Rc<State>, target: Target) {
-    let frame = frame(&state, &target.name);
+async fn send_frame(state: Rc<State>, target: Target) {
+    let frame = build_frame(&state, &target.name);
     let bytes = frame.encode();
     state.exchange.borrow_mut().record_sent(bytes.len() + REQUEST_OVERHEAD_BYTES);
-    let request = state.http.post(format!("http://{}/frame", target.address)).timeout(ANSWER);
-    let request = request.insert_header((SECRET, state.node.secret.clone()));
+    let request =
+        state.peer_client.post(format!("http://{}/frame", target.address)).timeout(TIMEOUT);
+    let request = request.insert_header((SECRET_HEADER, state.node.secret.clone()));
     let Ok(mut response) = request.send_body(bytes).await else { return };
-    if let Ok(body) = response.body().limit(LARGEST).await
+    if let Ok(body) = response.body().limit(MAX_FRAME_BYTES).await
         && let Ok(theirs) = Frame::decode(&body)
     {
         state.exchange.borrow_mut().record_delivery(&target.name, &frame, state.clock.now());
-        heard(&state, theirs);
+        receive(&state, theirs);
     }
 }
--- a/components/router/src/relay.rs
+++ b/components/router/src/relay.rs
@@ -1,4 +1,5 @@
-//! Carries a request from admission to its end: waits for a place, sends, passes the answer on.
+//! Runs an admitted request: waits until the scheduler selects a server, sends the request to it, and
+//! relays the response.
 
 use std::rc::Rc;
 
@@ -13,25 +14,26 @@
 use settings::{Server, ServerKind};
 use xxhash_rust::xxh3::xxh3_64;
 
-use crate::answer::{self, Answer, Error, OUTCOME};
+use crate::answer::{self, Answer, Error, OUTCOME_HEADER};
 use crate::claim::Claim;
-use crate::place::{Place, Refused};
-use crate::state::{Held, State};
-use crate::stream::{self, Passing};
+use crate::state::{OpenRequest, State};
+use crate::stream::{self, Relay};
+use crate::submission::{Refused, Submission};
 
-/// Bytes of a prompt's head that tell whether two prompts share a cached prefix.
-const HEAD: usize = 1024;
-/// Bytes of text a token stands for, on average; corrected as answers are counted.
-const BYTES_A_TOKEN: usize = 4;
+/// Bytes at the reply of a body by which prompts that share a cached prefix are recognized.
+const PREFIX_BYTES: usize = 1024;
+/// Average bytes of text for one token; the estimate is corrected as the tokens of responses are
+/// counted.
+const BYTES_PER_TOKEN: usize = 4;
 
-/// A request that was admitted.
+/// An admitted request.
 pub(crate) struct Job {
     pub(crate) life: lifecycle::Request<lifecycle::Admitted>,
-    pub(crate) parcel: Parcel,
+    pub(crate) payload: Payload,
 }
 
-/// What every attempt of a request sends.
-pub(crate) struct Parcel {
+/// The content of a request, which each attempt sends.
+pub(crate) struct Payload {
     pub(crate) class: Rc<settings::Class>,
     /// Name of the workspace.
     pub(crate) workspace: String,
@@ -41,12 +43,12 @@
     pub(crate) media: String,
     pub(crate) body: Bytes,
     pub(crate) key: Option<ids::Request>,
-    /// What lets it through, where it has a key and may not be repeated.
+    /// The claim of its idempotency key, if it has one and must not run twice.
     pub(crate) claim: Option<Claim>,
     pub(crate) request: policy::Request,
 }
 
-impl Parcel {
+impl Payload {
     pub(crate) fn call(&self, id: ids::Request, attempt: u32, server: &Server) -> Call {
         Call {
             id,
@@ -66,111 +68,113 @@
         }
     }
 
-    /// Hash of what it asks, the same for each try of it.
-    pub(crate) fn content(&self) -> u64 {
+    /// Hash of the content, the same for each attempt.
+    pub(crate) fn content_hash(&self) -> u64 {
         let texts = [&self.workspace, &self.class.name, &self.path].map(|text| text.as_bytes());
         let [workspace, class, path] = texts;
         driver::fingerprint(&[workspace, class, path, &self.body])
     }
 
-    /// Proof that it may run more than once, if it may.
+    /// Proof that the request may run more than once, if it may.
     pub(crate) fn repeatable(&self) -> Option<Repeatable> {
         Repeatable::if_idempotent(self.class.idempotent)
     }
 }
 
-/// Hash of a prompt's head, by which two prompts that share a cached prefix are known.
-pub(crate) fn prefix(body: &[u8]) -> u64 {
-    xxh3_64(&body[..body.len().min(HEAD)])
+/// Hash of the reply of a body, by which prompts that share a cached prefix are recognized.
+pub(crate) fn prefix_hash(body: &[u8]) -> u64 {
+    xxh3_64(&body[..body.len().min(PREFIX_BYTES)])
 }
 
-/// Length of a prompt in tokens, estimated.
-pub(crate) fn tokens(body: &[u8]) -> u32 {
-    (body.len() / BYTES_A_TOKEN) as u32
+/// Estimated length of a prompt in tokens.
+pub(crate) fn estimate_tokens(body: &[u8]) -> u32 {
+    (body.len() / BYTES_PER_TOKEN) as u32
 }
 
-/// Why an attempt brought no answer.
-pub(crate) enum Trouble {
-    /// The backend server.
+/// Why an attempt failed.
+pub(crate) enum AttemptError {
+    /// The backend server failed.
     Failure(Failure),
-    /// The decisions stopped it.
+    /// The scheduler stopped the attempt.
     Stopped,
-    /// The answer is of no use any more.
+    /// The deadline passed.
     Late,
 }
 
-impl Trouble {
-    /// Logs why an attempt brought no answer, and finds out whether the server crashed under it.
-    pub(crate) fn note(&self, place: &Place, id: ids::Request, attempt: u32) {
+impl AttemptError {
+    /// Logs why the attempt failed, and records it if the server may have crashed.
+    pub(crate) fn record(&self, submission: &Submission, id: ids::Request, attempt: u32) {
         let cause = match self {
-            Trouble::Failure(failure) => failure.to_string(),
-            Trouble::Stopped => "stopped for a higher tier".to_string(),
-            Trouble::Late => "its deadline passed".to_string(),
+            AttemptError::Failure(failure) => failure.to_string(),
+            AttemptError::Stopped => "stopped for a higher tier".to_string(),
+            AttemptError::Late => "its deadline passed".to_string(),
         };
-        if let Trouble::Failure(Failure::Crossed { .. }) = self {
-            place.state.metrics.crossed();
+        if let AttemptError::Failure(Failure::Crossed { .. }) = self {
+            submission.state.metrics.crossed();
         }
-        if let Trouble::Failure(Failure::Lost { address, .. }) = self {
-            place.lost(address);
+        if let AttemptError::Failure(Failure::Lost { address, .. }) = self {
+            submission.record_lost_connection(address);
         }
         log::warn!(request:% = id, attempt = attempt, cause = cause.as_str(); "attempt failed");
     }
 
+    /// Proof that nothing of the request was sent, if the error is one.
     pub(crate) fn unsent(&self) -> Option<Unsent> {
         match self {
-            Trouble::Failure(failure) if failure.unsent() => Some(Unsent::vouch()),
+            AttemptError::Failure(failure) if failure.unsent() => Some(Unsent::vouch()),
             _ => None,
         }
     }
 
+    /// How the attempt ended, if another may follow.
     pub(crate) fn ending(&self) -> Ending {
         match self {
-            Trouble::Failure(failure) if failure.unsent() => Ending::NotRun,
-            Trouble::Failure(_) => Ending::Failed,
-            Trouble::Stopped => Ending::Stopped,
-            Trouble::Late => Ending::Cancelled,
+            AttemptError::Failure(failure) if failure.unsent() => Ending::NotRun,
+            AttemptError::Failure(_) => Ending::Failed,
+            AttemptError::Stopped => Ending::Stopped,
+            AttemptError::Late => Ending::Cancelled,
         }
     }
 
-    /// How the attempt ended where no other can follow.
-    pub(crate) fn last(&self) -> Ending {
+    /// How the attempt ended, if no other can follow.
+    pub(crate) fn final_ending(&self) -> Ending {
         match self {
-            Trouble::Failure(_) => Ending::Failed,
-            Trouble::Stopped | Trouble::Late => Ending::Cancelled,
+            AttemptError::Failure(_) => Ending::Failed,
+            AttemptError::Stopped | AttemptError::Late => Ending::Cancelled,
         }
     }
 }
 
-/// A parcel of which nothing was sent. Dropped as such, its caller went away while it waited, and
-/// its key may be used again.
-struct Queued(Option<Parcel>);
+/// A payload of which nothing was sent. If it is dropped, its caller disconnected while it was queued,
+/// and its idempotency key may be used again.
+struct QueuedPayload(Option<Payload>);
 
-impl Drop for Queued {
+impl Drop for QueuedPayload {
     fn drop(&mut self) {
-        if let Some(claim) = self.0.take().and_then(|parcel| parcel.claim) {
-            claim.not_run();
+        if let Some(claim) = self.0.take().and_then(|payload| payload.claim) {
+            claim.release();
         }
     }
 }
 
-/// Serves an admitted request. Once it may have been sent, one that may not be repeated goes on
-/// when its caller goes away; before that, it would run for nobody.
-pub(crate) async fn serve(state: Rc<State>, job: Job, held: Held) -> Answer {
-    let Job { life, parcel } = job;
+/// Serves an admitted request. A request that must not run twice goes on when its caller disconnects,
+/// but only once it may have been sent; before that it is dropped, because it would run for nobody.
+pub(crate) async fn serve(state: Rc<State>, job: Job, open: OpenRequest) -> Answer {
+    let Job { life, payload } = job;
     let id = life.id();
     let waiting = Waiting::Queued(life.queue());
-    let mut place = Place::new(&state, &parcel);
-    let mut queued = Queued(Some(parcel));
-    let turn = place.turn().await;
-    let Some(parcel) = queued.0.take() else {
+    let mut submission = Submission::new(&state, &payload);
+    let mut queued = QueuedPayload(Some(payload));
+    let selected = submission.wait_for_server().await;
+    let Some(payload) = queued.0.take() else {
         return answer::error(id, Outcome::Unknown, &Error::Unknown, None);
     };
-    let server = match turn {
+    let server = match selected {
         Ok(server) => server,
-        Err(refused) => return refuse(&state, &parcel, waiting, refused),
+        Err(refused) => return refuse(&state, &payload, waiting, refused),
     };
-    let idempotent = parcel.class.idempotent;
-    let running = run(state, parcel, waiting, place, server, held);
+    let idempotent = payload.class.idempotent;
+    let running = run(state, payload, waiting, submission, server, open);
     if idempotent {
         return running.await;
     }
@@ -180,124 +184,131 @@
 
 async fn run(
     state: Rc<State>,
-    parcel: Parcel,
+    payload: Payload,
     mut waiting: Waiting,
-    mut place: Place,
+    mut submission: Submission,
     mut server: Rc<Server>,
-    held: Held,
+    open: OpenRequest,
 ) -> Answer {
     loop {
-        if let Some(refused) = overtaken(&state, &parcel) {
-            place.end(Ending::NotRun);
-            return refuse(&state, &parcel, waiting, refused);
+        if let Some(refused) = deadline_passed(&state, &payload) {
+            submission.end_attempt(Ending::NotRun);
+            return refuse(&state, &payload, waiting, refused);
         }
         let sending = waiting.send();
         let id = sending.id();
-        let (sending, ended) = tries(&mut place, &parcel, sending, &server).await;
-        let trouble = match ended {
-            Ok(start) => return pass(place, sending, start, parcel, held),
-            Err(trouble) => trouble,
+        let (sending, ended) =
+            attempt_with_repeat(&mut submission, &payload, sending, &server).await;
+        let error = match ended {
+            Ok(reply) => return relay_reply(submission, sending, reply, payload, open),
+            Err(error) => error,
         };
-        state.metrics.failed(&parcel.class.name);
-        let again = place.end(trouble.ending());
-        waiting = match sending.fail(trouble.unsent(), parcel.repeatable()) {
+        state.metrics.failed(&payload.class.name);
+        let requeued = submission.end_attempt(error.ending());
+        waiting = match sending.fail(error.unsent(), payload.repeatable()) {
             Ok(waiting) => waiting,
-            Err(outcome) => return unknown(&state, &parcel, id, outcome),
+            Err(outcome) => return answer_unknown(&state, &payload, id, outcome),
         };
-        if !again {
-            return refuse(&state, &parcel, waiting, Refused::NO_SERVER);
+        if !requeued {
+            return refuse(&state, &payload, waiting, Refused::NO_SERVER);
         }
-        server = match place.turn().await {
+        server = match submission.wait_for_server().await {
             Ok(server) => server,
-            Err(refused) => return refuse(&state, &parcel, waiting, refused),
+            Err(refused) => return refuse(&state, &payload, waiting, refused),
         };
     }
 }
 
-/// An attempt, and a second one at the same server if that runs a key at most once by itself.
-async fn tries(
-    place: &mut Place,
-    parcel: &Parcel,
+/// Makes an attempt, and a second one at the same server if the first failed and the server itself runs
+/// each key at most once.
+async fn attempt_with_repeat(
+    submission: &mut Submission,
+    payload: &Payload,
     sending: Sending,
     server: &Server,
-) -> (Sending, Result<Start, Trouble>) {
-    let call = parcel.call(sending.id(), sending.attempt(), server);
-    let trouble = match attempt(place, parcel, &call).await {
-        Ok(start) => return (sending, Ok(start)),
-        Err(trouble) => trouble,
+) -> (Sending, Result<ReadyReply, AttemptError>) {
+    let call = payload.call(sending.id(), sending.attempt(), server);
+    let error = match attempt(submission, payload, &call).await {
+        Ok(reply) => return (sending, Ok(reply)),
+        Err(error) => error,
     };
-    trouble.note(place, call.id, call.attempt);
+    error.record(submission, call.id, call.attempt);
     let proof = Repeatable::if_idempotent(server.keyed && call.key.is_some());
-    if parcel.class.idempotent || proof.is_none() || trouble.unsent().is_some() {
-        return (sending, Err(trouble));
+    if payload.class.idempotent || proof.is_none() || error.unsent().is_some() {
+        return (sending, Err(error));
     }
     let sending = match sending.fail(None, proof) {
         Ok(waiting) => waiting.send(),
         Err(_) => unreachable!("a proof was given"),
     };
-    let call = parcel.call(sending.id(), sending.attempt(), server);
-    let ended = attempt(place, parcel, &call).await;
-    if let Err(trouble) = &ended {
-        trouble.note(place, call.id, call.attempt);
+    let call = payload.call(sending.id(), sending.attempt(), server);
+    let ended = attempt(submission, payload, &call).await;
+    if let Err(error) = &ended {
+        error.record(submission, call.id, call.attempt);
     }
     (sending, ended)
 }
 
-/// Why a request may not be sent though its turn has come: the process may have been paused since
-/// the turn was given, and its answer be of no use any more.
-fn overtaken(state: &State, parcel: &Parcel) -> Option<Refused> {
-    let late = state.clock.now() >= parcel.request.deadline;
+/// The refusal of a request whose deadline passed after the scheduler selected a server, which happens
+/// if the process was paused in between.
+fn deadline_passed(state: &State, payload: &Payload) -> Option<Refused> {
+    let late = state.clock.now() >= payload.request.deadline;
     late.then_some(Refused { refusal: Refusal::Late, ..Refused::NO_SERVER })
 }
 
-/// The start of an answer that may be passed on.
-enum Start {
+/// A response of which enough was received to begin the response to the caller.
+enum ReadyReply {
     Whole(Whole),
     /// A stream and its first events.
     Stream(Box<engine::Stream>, Option<Piece>),
 }
 
-/// Sends a call and waits for the first of its answer that a caller can be given. Until then
-/// nothing is promised to the caller, and another attempt may follow.
-async fn ask(engines: &engine::Client, call: &Call) -> Result<Start, Trouble> {
-    match engines.call(call).await.map_err(Trouble::Failure)? {
-        Reply::Whole(whole) => Ok(Start::Whole(whole)),
+/// Sends a call and waits for the whole response or the first events of a stream. Until then nothing
+/// was sent to the caller, and another attempt may follow.
+async fn send_call(engines: &engine::Client, call: &Call) -> Result<ReadyReply, AttemptError> {
+    match engines.call(call).await.map_err(AttemptError::Failure)? {
+        Reply::Whole(whole) => Ok(ReadyReply::Whole(whole)),
         Reply::Stream(mut stream) => {
-            let first = stream.next().await.map_err(Trouble::Failure)?;
-            Ok(Start::Stream(stream, first))
+            let first = stream.next().await.map_err(AttemptError::Failure)?;
+            Ok(ReadyReply::Stream(stream, first))
         }
     }
 }
 
-/// One attempt. One that may not be repeated is never broken off from here.
-async fn attempt(place: &mut Place, parcel: &Parcel, call: &Call) -> Result<Start, Trouble> {
-    let engines = place.state.engines.borrow().clone();
-    let asking = ask(&engines, call);
-    if !parcel.class.idempotent {
-        return asking.await;
+/// Makes one attempt. The attempt of a request that must not run twice is never stopped.
+async fn attempt(
+    submission: &mut Submission,
+    payload: &Payload,
+    call: &Call,
+) -> Result<ReadyReply, AttemptError> {
+    let engines = submission.state.engine_client.borrow().clone();
+    let sending = send_call(&engines, call);
+    if !payload.class.idempotent {
+        return sending.await;
     }
     tokio::select! {
-        start = asking => start,
-        _ = place.stopped() => Err(Trouble::Stopped),
-        _ = tokio::time::sleep_until(parcel.request.deadline.into()) => Err(Trouble::Late),
+        reply = sending => reply,
+        _ = submission.wait_for_stop() => Err(AttemptError::Stopped),
+        _ = tokio::time::sleep_until(payload.request.deadline.into()) => Err(AttemptError::Late),
     }
 }
 
-pub(crate) fn note(state: &State, id: ids::Request, class: &str, outcome: Outcome) {
+/// Counts and logs the outcome of a request.
+pub(crate) fn record_outcome(state: &State, id: ids::Request, class: &str, outcome: Outcome) {
     state.metrics.outcome(class, outcome.as_str());
     log::info!(request:% = id, class = class, outcome = outcome.as_str(); "ended");
 }
 
-/// Notes how long a whole answer took.
-pub(crate) fn answered(state: &State, parcel: &Parcel) {
+/// Records how long a complete response took.
+pub(crate) fn record_response_time(state: &State, payload: &Payload) {
     let settings = state.settings();
-    let workspace = settings.as_ref().and_then(|s| s.workspaces.get(parcel.request.workspace));
+    let workspace = settings.as_ref().and_then(|s| s.workspaces.get(payload.request.workspace));
     let workspace = workspace.map_or("", |workspace| &workspace.name);
-    let time = state.clock.now() - parcel.request.arrived;
-    state.metrics.answered(&parcel.class.name, workspace, time);
+    let time = state.clock.now() - payload.request.arrived;
+    state.metrics.answered(&payload.class.name, workspace, time);
 }
 
-fn refuse(state: &State, parcel: &Parcel, waiting: Waiting, refused: Refused) -> Answer {
+fn refuse(state: &State, payload: &Payload, waiting: Waiting, refused: Refused) -> Answer {
     let id = waiting.id();
     let outcome = waiting.refuse(match refused.refusal {
         Refusal::Full | Refusal::Displaced => Reason::Full,
@@ -306,51 +317,59 @@
         Refusal::Quarantined => Reason::Quarantined,
     });
     if outcome == Outcome::Unknown {
-        return unknown(state, parcel, id, outcome);
+        return answer_unknown(state, payload, id, outcome);
     }
-    if let Some(claim) = &parcel.claim {
-        claim.not_run();
+    if let Some(claim) = &payload.claim {
+        claim.release();
     }
-    note(state, id, &parcel.class.name, outcome);
-    state.metrics.refusal(answer::refusal(refused.refusal));
-    let again = refused.retry_after;
-    let error = Error::Refused(answer::refusal(refused.refusal), again.as_millis());
-    answer::error(id, outcome, &error, Some(again))
+    record_outcome(state, id, &payload.class.name, outcome);
+    state.metrics.refusal(answer::refusal_text(refused.refusal));
+    let retry_after = refused.retry_after;
+    let error = Error::Refused(answer::refusal_text(refused.refusal), retry_after.as_millis());
+    answer::error(id, outcome, &error, Some(retry_after))
 }
 
-fn unknown(state: &State, parcel: &Parcel, id: ids::Request, outcome: Outcome) -> Answer {
-    note(state, id, &parcel.class.name, outcome);
+/// Answers a request that may have run.
+fn answer_unknown(state: &State, payload: &Payload, id: ids::Request, outcome: Outcome) -> Answer {
+    record_outcome(state, id, &payload.class.name, outcome);
     answer::error(id, outcome, &Error::Unknown, None)
 }
 
-fn pass(mut place: Place, sending: Sending, start: Start, parcel: Parcel, held: Held) -> Answer {
+/// Builds the response to the caller from a server's.
+fn relay_reply(
+    mut submission: Submission,
+    sending: Sending,
+    reply: ReadyReply,
+    payload: Payload,
+    open: OpenRequest,
+) -> Answer {
     let id = sending.id();
-    let status = match &start {
-        Start::Stream(..) => StatusCode::OK,
-        Start::Whole(whole) => StatusCode::from_u16(whole.status).unwrap_or(StatusCode::OK),
+    let status = match &reply {
+        ReadyReply::Stream(..) => StatusCode::OK,
+        ReadyReply::Whole(whole) => StatusCode::from_u16(whole.status).unwrap_or(StatusCode::OK),
     };
     let mut response = Response::build(status);
     response.insert_header((REQUEST_ID, id.to_string()));
-    match start {
-        Start::Whole(whole) => {
-            place.end(Ending::Completed);
+    match reply {
+        ReadyReply::Whole(whole) => {
+            submission.end_attempt(Ending::Completed);
             let outcome = sending.complete();
-            if let Some(claim) = &parcel.claim {
+            if let Some(claim) = &payload.claim {
                 let (media, body) = (whole.media.clone(), whole.body.to_vec());
                 claim.complete(Some(StoredAnswer { status: whole.status, media, body }));
             }
-            note(&place.state, id, &parcel.class.name, outcome);
-            answered(&place.state, &parcel);
+            record_outcome(&submission.state, id, &payload.class.name, outcome);
+            record_response_time(&submission.state, &payload);
             response.insert_header(("content-type", whole.media));
-            response.insert_header((OUTCOME, outcome.as_str()));
+            response.insert_header((OUTCOME_HEADER, outcome.as_str()));
             response.body(whole.body).map_into_boxed_body()
         }
-        Start::Stream(source, first) => {
+        ReadyReply::Stream(source, first) => {
             response.insert_header(("content-type", "text/event-stream"));
             response.insert_header(("cache-control", "no-cache"));
-            response.insert_header((OUTCOME, answer::STREAMING));
-            let passing = Passing::new(place, sending.stream(), source, first, parcel, held);
-            response.body(stream::body(passing)).map_into_boxed_body()
+            response.insert_header((OUTCOME_HEADER, answer::STREAMING));
+            let relay = Relay::new(submission, sending.stream(), source, first, payload, open);
+            response.body(stream::body(relay)).map_into_boxed_body()
         }
     }
 }
--- a/components/router/src/revisions.rs
+++ b/components/router/src/revisions.rs
@@ -1,5 +1,5 @@
-//! The settings' revisions: what this node knows of them, whom it hears them from, and what it
-//! shows to its peers.
+//! Keeps track of the revisions of the settings: the one in force, the sources that newer ones are read
+//! from, and what is served to peers.
 
 mod follow;
 mod serve;
@@ -19,31 +19,33 @@
 use tokio::sync::watch;
 
 pub(crate) use follow::start;
-pub(crate) use serve::{PREFIX, handle};
-
-/// Revisions kept to tell peers what changed since: at one a second in bursts, a peer that was
-/// away for longer than 16 s takes the list of all parts instead.
-const RECENT: usize = 16;
-/// A peer that didn't keep what it showed isn't asked for this long.
-const DISTRUST: Duration = Duration::from_secs(30);
-
-struct Past {
-    shown: Shown,
+pub(crate) use serve::{PATH_PREFIX, handle};
+
+/// Past revisions kept to send peers only what changed. With one revision a second in bursts, a peer that
+/// was unreachable for longer than 16 s gets the list of all parts instead.
+const MAX_PAST_REVISIONS: usize = 16;
+/// Time for which a peer isn't read from after it sent content that contradicts its own digest or
+/// revision number.
+const DISTRUST_TIME: Duration = Duration::from_secs(30);
+
+/// A revision that was in force.
+struct PastRevision {
+    id: Shown,
     parts: Rc<[Rc<Part>]>,
 }
 
-/// What a node knows of revisions.
+/// What a node knows of the settings' revisions.
 pub(crate) struct Revisions {
     mark: RefCell<Mark>,
-    /// The number in force; peers that hear from this node wait on it.
-    shown: watch::Sender<u64>,
-    recent: RefCell<VecDeque<Past>>,
-    /// The number that was shown with two digests.
+    /// Number of the revision in force; the watches of peers wait for it to change.
+    in_force: watch::Sender<u64>,
+    recent: RefCell<VecDeque<PastRevision>>,
+    /// Number of a revision that was seen with two digests.
     conflict: Cell<Option<u64>>,
-    /// When someone last showed that what is in force is the newest.
+    /// When a source last confirmed that the revision in force is the newest.
     confirmed: Cell<Option<Instant>>,
-    /// The process was paused and hasn't looked for a newer revision since.
-    woken: Cell<bool>,
+    /// The process was paused and hasn't yet looked for a newer revision since.
+    catching_up: Cell<bool>,
     distrusted: RefCell<HashMap<SocketAddr, Instant>>,
     list: RefCell<Vec<Vm>>,
 }
@@ -52,49 +54,51 @@
     pub(crate) fn new() -> Self {
         Revisions {
             mark: RefCell::default(),
-            shown: watch::channel(0).0,
+            in_force: watch::channel(0).0,
             recent: RefCell::default(),
             conflict: Cell::default(),
             confirmed: Cell::default(),
-            woken: Cell::default(),
+            catching_up: Cell::default(),
             distrusted: RefCell::default(),
             list: RefCell::default(),
         }
     }
 
-    /// Notes that a revision is in force. Returns false unless it is newer than all before.
-    pub(crate) fn hold(&self, effective: &Effective) -> bool {
+    /// Records that a revision is in force; returns whether it is newer than all before. One that isn't
+    /// changes nothing.
+    pub(crate) fn record_in_force(&self, effective: &Effective) -> bool {
         let shown = Shown { revision: effective.revision, digest: effective.digest };
         if !self.mark.borrow_mut().hold(shown) {
             return false;
         }
         let mut recent = self.recent.borrow_mut();
-        recent.push_back(Past { shown, parts: effective.parts.clone() });
-        if recent.len() > RECENT {
+        recent.push_back(PastRevision { id: shown, parts: effective.parts.clone() });
+        if recent.len() > MAX_PAST_REVISIONS {
             recent.pop_front();
         }
         self.conflict.set(None);
-        self.shown.send_replace(effective.revision);
+        self.in_force.send_replace(effective.revision);
         true
     }
 
-    /// Whether the process was paused and hasn't looked for a newer revision since.
-    pub(crate) fn woken(&self) -> bool {
-        self.woken.get()
+    /// Whether the process was paused and hasn't yet looked for a newer revision since.
+    pub(crate) fn is_catching_up(&self) -> bool {
+        self.catching_up.get()
     }
 
-    /// Takes in the published list of VMs; an empty one is taken for a fault of its publisher.
-    pub(crate) fn listed(&self, list: &[Vm]) {
+    /// Applies the published list of VMs. An empty list is ignored as a fault of its publisher.
+    pub(crate) fn apply_list(&self, list: &[Vm]) {
         if !list.is_empty() {
             *self.list.borrow_mut() = list.to_vec();
         }
     }
 
-    fn place(&self, name: &str, domain: &str) -> Position {
+    /// Position of this node in the tree that distributes the settings.
+    fn position(&self, name: &str, domain: &str) -> Position {
         topology::position(&self.list.borrow(), name, domain)
     }
 
-    /// Listed peers, those of the own failure domain first.
+    /// Addresses of the listed peers, those of the node's own failure domain first.
     fn peers(&self, name: &str, domain: &str) -> Vec<SocketAddr> {
         let list = self.list.borrow();
         let mut entries: Vec<_> =
@@ -103,21 +107,22 @@
         entries.into_iter().filter_map(|vm| vm.address.parse().ok()).collect()
     }
 
+    /// Stops reading from a peer for [`DISTRUST_TIME`].
     fn distrust(&self, peer: SocketAddr, now: Instant) {
-        self.distrusted.borrow_mut().insert(peer, now + DISTRUST);
+        self.distrusted.borrow_mut().insert(peer, now + DISTRUST_TIME);
     }
 
-    fn trusted(&self, peer: SocketAddr, now: Instant) -> bool {
+    fn is_trusted(&self, peer: SocketAddr, now: Instant) -> bool {
         let mut distrusted = self.distrusted.borrow_mut();
         distrusted.retain(|_, until| *until > now);
         !distrusted.contains_key(&peer)
     }
 
-    /// What operators see of it.
+    /// The state of the revisions for `/status`.
     pub(crate) fn status(&self, name: &str, domain: &str, now: Instant) -> serde_json::Value {
         let mark = self.mark.borrow();
         let age = self.confirmed.get().map(|at| (now - at).as_millis() as u64);
-        let role = match self.place(name, domain) {
+        let role = match self.position(name, domain) {
             Position::Watcher => "watches the service",
             Position::Follower(_) => "hears from peers",
         };
--- a/components/router/src/revisions/follow.rs
+++ b/components/router/src/revisions/follow.rs
@@ -1,5 +1,5 @@
-//! Follows the settings: looks around at the start and after a pause, then watches the service or
-//! hears from peers, as its place in the spread says.
+//! Follows the settings: at the start and after a pause of the process reads the service and some peers,
+//! otherwise watches the service or a peer by the node's position in the distribution tree.
 
 use std::net::SocketAddr;
 use std::rc::{Rc, Weak};
@@ -14,26 +14,26 @@
 use settings::mark::Shown;
 
 use super::take::{self, Fault, Source};
-use crate::peers::SECRET;
+use crate::peers::SECRET_HEADER;
 use crate::state::State;
 
-/// Pause after a failed read, doubled with each up to [`LONGEST`], so that a service that comes
-/// back isn't met by a rush.
-const PAUSE: Duration = Duration::from_millis(500);
-const LONGEST: Duration = Duration::from_secs(4);
-/// How often frames are looked at for a higher revision: half a second of the 4 s that a change may
-/// take.
+/// Pause after a failed read. It doubles with each failure up to [`MAX_RETRY_PAUSE`], so that a service
+/// that comes back from an outage doesn't get all nodes' reads at once.
+const RETRY_PAUSE: Duration = Duration::from_millis(500);
+const MAX_RETRY_PAUSE: Duration = Duration::from_secs(4);
+/// Interval at which the peers' frames are checked for a higher revision: half a second of the 4 s in
+/// which a change must arrive.
 const TICK: Duration = Duration::from_millis(500);
-/// A tick that comes later than this tells that the process was paused.
-const PAUSED: Duration = Duration::from_secs(3);
-/// Peers asked when looking around: enough that one stale peer isn't alone, few enough that a fleet
-/// that restarts doesn't meet itself.
-const ASKED: usize = 3;
+/// Time between two ticks above which the process must have been paused.
+const PAUSE_THRESHOLD: Duration = Duration::from_secs(3);
+/// Peers that are read at the start and after a pause: more than one, because one may be stale, and few,
+/// so that the nodes of a fleet that restarts don't overload each other.
+const MAX_PEERS_READ: usize = 3;
 
 /// Starts the tasks; they end with the router.
 pub(crate) fn start(state: &Rc<State>) {
     actix_rt::spawn(follow(Rc::downgrade(state)));
-    actix_rt::spawn(ticks(Rc::downgrade(state)));
+    actix_rt::spawn(run_ticks(Rc::downgrade(state)));
 }
 
 async fn follow(weak: Weak<State>) {
@@ -44,37 +44,41 @@
     loop {
         let Some(state) = weak.upgrade() else { return };
         if state.settings().is_none() {
-            around(&state, &service).await;
-            let pause = jittered(PAUSE, rand::random());
+            read_all_sources(&state, &service).await;
+            let pause = jittered(RETRY_PAUSE, rand::random());
             if state.settings().is_none() {
                 drop(state);
                 tokio::time::sleep(pause).await;
             }
             continue;
         }
-        let place = state.revisions.place(&state.node.name, &state.node.domain);
+        let position = state.revisions.position(&state.node.name, &state.node.domain);
         drop(state);
-        let came = match place {
-            Position::Watcher => watch(&weak, &service).await,
-            Position::Follower(ahead) => listen(&weak, ahead, &service).await,
+        let succeeded = match position {
+            Position::Watcher => watch_service(&weak, &service).await,
+            Position::Follower(peers) => watch_peers(&weak, peers, &service).await,
         };
-        failures = if came { 0 } else { (failures + 1).min(8) };
+        failures = if succeeded { 0 } else { (failures + 1).min(8) };
         if failures > 0 {
-            let mean = (PAUSE * (1 << (failures - 1))).min(LONGEST);
+            let mean = (RETRY_PAUSE * (1 << (failures - 1))).min(MAX_RETRY_PAUSE);
             tokio::time::sleep(jittered(mean, rand::random())).await;
         }
     }
 }
 
-fn known(state: &State) -> Shown {
+/// The highest known revision, with the digest of the one in force.
+fn known_revision(state: &State) -> Shown {
     let mark = state.revisions.mark.borrow();
     let digest = mark.held.map_or(0, |held| held.digest);
     Shown { revision: mark.top().unwrap_or(0), digest }
 }
 
-/// Waits for the service to show something new. Returns whether it answered.
-async fn watch(weak: &Weak<State>, service: &Configuration) -> bool {
-    let Some(after) = weak.upgrade().map(|state| known(&state).revision) else { return true };
+/// Waits for a newer revision from the service and applies it; returns whether the service can be
+/// watched again without a pause.
+async fn watch_service(weak: &Weak<State>, service: &Configuration) -> bool {
+    let Some(after) = weak.upgrade().map(|state| known_revision(&state).revision) else {
+        return true;
+    };
     let answer = service.watch(Some(after)).await;
     let Some(state) = weak.upgrade() else { return true };
     match answer {
@@ -82,49 +86,55 @@
             state.revisions.confirmed.set(Some(state.clock.now()));
             true
         }
-        Ok(Some(manifest)) => from_service(&state, service, &manifest).await,
-        Err(cause) => noted(&state, &Source::Service(service.clone()), Fault::Unread(cause)),
+        Ok(Some(manifest)) => apply_from_service(&state, service, &manifest).await,
+        Err(cause) => failed(&state, &Source::Service(service.clone()), Fault::ReadFailed(cause)),
     }
 }
 
-async fn from_service(state: &Rc<State>, service: &Configuration, manifest: &Manifest) -> bool {
+async fn apply_from_service(
+    state: &Rc<State>,
+    service: &Configuration,
+    manifest: &Manifest,
+) -> bool {
     let source = Source::Service(service.clone());
-    // An answer to a watch that isn't newer comes from a replica that is behind: pause.
-    let newer = known(state).revision < manifest.revision;
-    match take::manifest(state, &source, manifest).await {
+    // A watch answered with a revision that isn't newer was served by a stale replica of the service;
+    // the caller then pauses.
+    let newer = known_revision(state).revision < manifest.revision;
+    match take::apply_manifest(state, &source, manifest).await {
         Ok(()) => newer,
-        Err(fault) => noted(state, &source, fault),
+        Err(fault) => failed(state, &source, fault),
     }
 }
 
-fn noted(state: &State, source: &Source, fault: Fault) -> bool {
-    take::note(state, source, &fault);
+/// Records a fault; always returns false, because the source must not be read again without a pause.
+fn failed(state: &State, source: &Source, fault: Fault) -> bool {
+    take::record_fault(state, source, &fault);
     false
 }
 
-/// Waits for a peer to tell something new; if all are silent, reads the service. Returns whether
-/// anyone answered.
-async fn listen(weak: &Weak<State>, ahead: Vec<SocketAddr>, service: &Configuration) -> bool {
-    for address in ahead {
+/// Waits for a newer revision from the first peer that answers and applies it; if none answers, reads
+/// the service. Returns whether a peer can be watched again without a pause.
+async fn watch_peers(weak: &Weak<State>, peers: Vec<SocketAddr>, service: &Configuration) -> bool {
+    for address in peers {
         let Some(state) = weak.upgrade() else { return true };
-        if !state.revisions.trusted(address, state.clock.now()) {
+        if !state.revisions.is_trusted(address, state.clock.now()) {
             continue;
         }
         let peer = peer(&state, address);
-        let theirs = known(&state);
+        let theirs = known_revision(&state);
         drop(state);
         let answer = peer.watch(theirs.revision, theirs.digest).await;
         let Some(state) = weak.upgrade() else { return true };
         match answer {
             Ok(None) => return true,
-            Ok(Some(news)) => {
+            Ok(Some(update)) => {
                 let source = Source::Peer(peer);
-                return match take::news(&state, &source, news).await {
-                    Ok(()) if known(&state).revision > theirs.revision => true,
-                    // An answer that isn't newer than what was asked for would be asked for again
-                    // at once, and the two would keep each other busy.
-                    Ok(()) => noted(&state, &source, Fault::Lie),
-                    Err(fault) => noted(&state, &source, fault),
+                return match take::apply_update(&state, &source, update).await {
+                    Ok(()) if known_revision(&state).revision > theirs.revision => true,
+                    // The peer answered the watch with a revision that isn't newer. It would do so
+                    // again at once, and both nodes would be in a busy loop.
+                    Ok(()) => failed(&state, &source, Fault::FalseClaim),
+                    Err(fault) => failed(&state, &source, fault),
                 };
             }
             Err(_) => {}
@@ -132,86 +142,89 @@
     }
     tokio::time::sleep(jittered(ISOLATED_READ_INTERVAL, rand::random())).await;
     let Some(state) = weak.upgrade() else { return true };
-    read(&state, service).await;
+    read_service(&state, service).await;
     false
 }
 
 fn peer(state: &State, address: SocketAddr) -> Peer {
-    Peer::new(state.http.clone(), address, SECRET, state.node.secret.clone())
+    Peer::new(state.peer_client.clone(), address, SECRET_HEADER, state.node.secret.clone())
 }
 
-async fn read(state: &Rc<State>, service: &Configuration) {
+async fn read_service(state: &Rc<State>, service: &Configuration) {
     match service.read().await {
         Ok(manifest) => {
-            from_service(state, service, &manifest).await;
+            apply_from_service(state, service, &manifest).await;
         }
         Err(cause) => {
-            noted(state, &Source::Service(service.clone()), Fault::Unread(cause));
+            failed(state, &Source::Service(service.clone()), Fault::ReadFailed(cause));
         }
     }
 }
 
-/// Asks the service and some peers at once and takes the highest that any of them can show whole.
-async fn around(state: &Rc<State>, service: &Configuration) {
+/// Reads the service and some peers concurrently, and applies the highest revision that any of them can
+/// provide completely.
+async fn read_all_sources(state: &Rc<State>, service: &Configuration) {
     if state.revisions.list.borrow().is_empty()
         && let Ok(list) = VmList::new(state.node.list).read().await
     {
-        state.revisions.listed(&list);
+        state.revisions.apply_list(&list);
     }
     let now = state.clock.now();
     let listed = state.revisions.peers(&state.node.name, &state.node.domain);
     let mut peers = state.node.seeds.clone();
     peers.extend(listed.into_iter().filter(|peer| !state.node.seeds.contains(peer)));
-    peers.retain(|peer| state.revisions.trusted(*peer, now));
-    let theirs = known(state);
-    let asked = peers.into_iter().take(ASKED).map(|address| async move {
+    peers.retain(|peer| state.revisions.is_trusted(*peer, now));
+    let theirs = known_revision(state);
+    let reads = peers.into_iter().take(MAX_PEERS_READ).map(|address| async move {
         let peer = peer(state, address);
-        let news = peer.read(theirs.revision, theirs.digest).await.ok().flatten()?;
-        Some((Source::Peer(peer), news))
+        let update = peer.read(theirs.revision, theirs.digest).await.ok().flatten()?;
+        Some((Source::Peer(peer), update))
     });
-    let (manifest, told) = tokio::join!(service.read(), join_all(asked));
-    let mut shown: Vec<_> = told.into_iter().flatten().collect();
+    let (manifest, updates) = tokio::join!(service.read(), join_all(reads));
+    let mut offered: Vec<_> = updates.into_iter().flatten().collect();
     match manifest {
-        // Number 0 is what the service shows before anything was published.
+        // The service has revision 0 before anything was published.
         Ok(manifest) if manifest.revision > 0 => {
-            shown.push((Source::Service(service.clone()), Update::Manifest(manifest)));
+            offered.push((Source::Service(service.clone()), Update::Manifest(manifest)));
         }
         Ok(_) => {}
         Err(cause) => log::warn!(cause:% = cause; "can't read the settings"),
     }
-    // The highest first; what is lower then only confirms or raises an alarm.
-    shown.sort_by_key(|(_, news)| std::cmp::Reverse(take::claimed(news).revision));
-    for (source, news) in shown {
-        if let Err(fault) = take::news(state, &source, news).await {
-            noted(state, &source, fault);
+    // The highest first; a lower one then only confirms it or reveals a conflict.
+    offered.sort_by_key(|(_, update)| std::cmp::Reverse(take::claimed_revision(update).revision));
+    for (source, update) in offered {
+        if let Err(fault) = take::apply_update(state, &source, update).await {
+            failed(state, &source, fault);
         }
     }
 }
 
-async fn ticks(weak: Weak<State>) {
+/// Detects pauses of the process, and at intervals checks the peers' frames and reads the service
+/// directly.
+async fn run_ticks(weak: Weak<State>) {
     let Some(service) = weak.upgrade().map(|s| Configuration::new(s.node.configuration)) else {
         return;
     };
-    let mut due = None;
+    let mut next_read = None;
     let mut before = None;
     loop {
         let Some(state) = weak.upgrade() else { return };
         let now = state.clock.now();
-        let paused = before.is_some_and(|before| now - before > PAUSED);
+        let paused = before.is_some_and(|before| now - before > PAUSE_THRESHOLD);
         if paused && state.settings().is_some() {
-            state.revisions.woken.set(true);
+            state.revisions.catching_up.set(true);
             state.metrics.settings.event("woken");
             log::warn!("the process was paused; looking for newer settings");
-            around(&state, &service).await;
-            state.revisions.woken.set(false);
+            read_all_sources(&state, &service).await;
+            state.revisions.catching_up.set(false);
         }
-        compare(&state).await;
-        let place = state.revisions.place(&state.node.name, &state.node.domain);
-        if due.is_some_and(|due| now >= due) && place != Position::Watcher {
-            read(&state, &service).await;
+        check_frames(&state).await;
+        let position = state.revisions.position(&state.node.name, &state.node.domain);
+        if next_read.is_some_and(|due| now >= due) && position != Position::Watcher {
+            read_service(&state, &service).await;
         }
-        if due.is_none_or(|due| now >= due) {
-            due = Some(now + jittered(DIRECT_READ_INTERVAL, rand::random()));
+        if next_read.is_none_or(|due| now >= due) {
+            next_read = Some(now + jittered(DIRECT_READ_INTERVAL, rand::random()));
         }
         before = Some(state.clock.now());
         drop(state);
@@ -219,8 +232,9 @@
     }
 }
 
-/// Looks at what peers' frames say of their revisions and asks the highest for what is new.
-async fn compare(state: &Rc<State>) {
+/// Compares the revisions in the peers' frames with the known one, and reads the highest ones from
+/// their peers.
+async fn check_frames(state: &Rc<State>) {
     let mut higher: Vec<(Shown, SocketAddr)> = vec![];
     let now = state.clock.now();
     for (name, member) in state.view.borrow().members() {
@@ -229,34 +243,38 @@
         };
         let shown = Shown { revision: frame.revision, digest: frame.digest };
         let Ok(address) = member.address.parse() else { continue };
-        let older = known(state).revision > shown.revision;
-        // That a peer lags is no news; its own exchange brings it up.
-        if !older && take::judge(state, shown, name) && state.revisions.trusted(address, now) {
+        let older = known_revision(state).revision > shown.revision;
+        // A peer that is behind needs no action here: it catches up by itself.
+        if !older
+            && take::check_offered(state, shown, name)
+            && state.revisions.is_trusted(address, now)
+        {
             higher.push((shown, address));
         }
     }
     higher.sort_by_key(|(shown, _)| std::cmp::Reverse(shown.revision));
-    for (claimed, address) in higher.into_iter().take(ASKED) {
-        let theirs = known(state);
+    for (claimed, address) in higher.into_iter().take(MAX_PEERS_READ) {
+        let theirs = known_revision(state);
         if theirs.revision >= claimed.revision {
             return;
         }
         let peer = peer(state, address);
-        let Ok(news) = peer.read(theirs.revision, theirs.digest).await else { continue };
+        let Ok(update) = peer.read(theirs.revision, theirs.digest).await else { continue };
         let source = Source::Peer(peer);
-        let kept =
-            news.as_ref().is_some_and(|news| take::claimed(news).revision >= claimed.revision);
-        let taken = match news {
-            Some(news) => take::news(state, &source, news).await,
+        let is_as_claimed = update
+            .as_ref()
+            .is_some_and(|update| take::claimed_revision(update).revision >= claimed.revision);
+        let applied = match update {
+            Some(update) => take::apply_update(state, &source, update).await,
             None => Ok(()),
         };
-        match taken {
-            Ok(()) if !kept => {
-                noted(state, &source, Fault::Lie);
+        match applied {
+            Ok(()) if !is_as_claimed => {
+                failed(state, &source, Fault::FalseClaim);
             }
             Ok(()) => {}
             Err(fault) => {
-                noted(state, &source, fault);
+                failed(state, &source, fault);
                 state.revisions.distrust(address, now);
             }
         }
--- a/components/router/src/revisions/serve.rs
+++ b/components/router/src/revisions/serve.rs
@@ -1,4 +1,4 @@
-//! Shows the settings in force to peers. Who asks was checked before.
+//! Serves the settings in force to peers. The caller of this module has checked the peer's secret.
 
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -11,12 +11,13 @@
 use crate::answer::Answer;
 use crate::state::State;
 
-/// Paths of the settings begin with this.
-pub(crate) const PREFIX: &str = "/settings/";
-/// Texts sent with a delta at most; beyond that the asker reads values one by one.
-const INLINE: usize = 64 << 10;
+/// Prefix of the paths of settings.
+pub(crate) const PATH_PREFIX: &str = "/settings/";
+/// Largest sum of the texts sent in a delta. A peer that needs more gets the manifest and reads the
+/// values one by one.
+const MAX_DELTA_BYTES: usize = 64 << 10;
 
-/// Answers a peer that asks for settings.
+/// Answers a peer's request for settings.
 pub(crate) async fn handle(state: Rc<State>, request: &Request) -> Answer {
     let path = request.path();
     if let Some(digest) = path.strip_prefix(VALUE_PATH) {
@@ -30,13 +31,15 @@
     let after = field("after=").and_then(|text| text.parse().ok()).unwrap_or(0);
     let digest = field("digest=").and_then(|text| u64::from_str_radix(text, 16).ok());
     if !query.split('&').any(|pair| pair == "now") {
-        let mut shown = state.revisions.shown.subscribe();
-        let _ = tokio::time::timeout(WATCH_TIMEOUT, shown.wait_for(|shown| *shown > after)).await;
+        let mut in_force = state.revisions.in_force.subscribe();
+        let _ =
+            tokio::time::timeout(WATCH_TIMEOUT, in_force.wait_for(|revision| *revision > after))
+                .await;
     }
     let theirs = Shown { revision: after, digest: digest.unwrap_or(0) };
-    match news(&state, theirs) {
-        Some(news) => {
-            let body = serde_json::to_string(&news).expect("plain fields");
+    match update_since(&state, theirs) {
+        Some(update) => {
+            let body = serde_json::to_string(&update).expect("plain fields");
             Response::build(StatusCode::OK).body(body).map_into_boxed_body()
         }
         None => empty(StatusCode::NOT_MODIFIED),
@@ -58,39 +61,39 @@
     }
 }
 
-/// What is new to one who holds `theirs`.
-fn news(state: &State, theirs: Shown) -> Option<Update> {
-    let held = state.settings()?;
-    if held.revision <= theirs.revision {
+/// What changed for a peer that has the revision `theirs`; `None` if it has the newest.
+fn update_since(state: &State, theirs: Shown) -> Option<Update> {
+    let current = state.settings()?;
+    if current.revision <= theirs.revision {
         return None;
     }
     let recent = state.revisions.recent.borrow();
-    let delta = recent.iter().find(|past| past.shown == theirs).and_then(|base| {
+    let delta = recent.iter().find(|past| past.id == theirs).and_then(|base| {
         let before: HashMap<&str, &str> =
             base.parts.iter().map(|part| (&*part.name, &*part.digest)).collect();
         let now: HashMap<&str, &str> =
-            held.parts.iter().map(|part| (&*part.name, &*part.digest)).collect();
-        let fresh = held.parts.iter().filter(|p| before.get(&*p.name) != Some(&&*p.digest));
-        let fresh: Vec<_> = fresh.collect();
-        let bytes: usize = fresh.iter().map(|part| part.text.len()).sum();
+            current.parts.iter().map(|part| (&*part.name, &*part.digest)).collect();
+        let changed = current.parts.iter().filter(|p| before.get(&*p.name) != Some(&&*p.digest));
+        let changed: Vec<_> = changed.collect();
+        let bytes: usize = changed.iter().map(|part| part.text.len()).sum();
         let gone = before.keys().filter(|name| !now.contains_key(*name));
-        (bytes <= INLINE).then(|| Delta {
-            revision: held.revision,
-            digest: held.digest,
-            changed: fresh
+        (bytes <= MAX_DELTA_BYTES).then(|| Delta {
+            revision: current.revision,
+            digest: current.digest,
+            changed: changed
                 .iter()
                 .map(|p| Changed { name: p.name.to_string(), text: p.text.to_string() })
                 .collect(),
             gone: gone.map(|name| name.to_string()).collect(),
         })
     });
-    Some(delta.map_or_else(|| Update::Manifest(manifest(&held)), Update::Delta))
+    Some(delta.map_or_else(|| Update::Manifest(manifest(&current)), Update::Delta))
 }
 
-fn manifest(held: &settings::Effective) -> Manifest {
+fn manifest(current: &settings::Effective) -> Manifest {
     let listed = |part: &Rc<settings::Part>| Listed {
         name: part.name.to_string(),
         digest: part.digest.clone(),
     };
-    Manifest { revision: held.revision, parts: held.parts.iter().map(listed).collect() }
+    Manifest { revision: current.revision, parts: current.parts.iter().map(listed).collect() }
 }
--- a/components/router/src/revisions/take.rs
+++ b/components/router/src/revisions/take.rs
@@ -1,4 +1,4 @@
-//! Takes in a revision that someone shows: whole or not at all.
+//! Applies a revision that a source offers, either completely or not at all.
 
 use std::collections::HashSet;
 use std::net::SocketAddr;
@@ -14,10 +14,11 @@
 
 use crate::state::State;
 
-/// Values read at once by a node that starts; the service counts each, so few.
-const AT_ONCE: usize = 4;
+/// Values read concurrently. A node that starts reads all values, and each read counts against the
+/// service's limit on calls, so there are few.
+const CONCURRENT_READS: usize = 4;
 
-/// Who shows a revision.
+/// Where a revision is read from.
 pub(super) enum Source {
     /// The configuration service.
     Service(Configuration),
@@ -25,12 +26,12 @@
     Peer(Peer),
 }
 
-/// Why nothing came of it.
+/// Why a revision couldn't be applied.
 pub(super) enum Fault {
-    /// A value can't be read now.
-    Unread(configuration::Error),
-    /// A peer's parts don't come to what it claimed.
-    Lie,
+    /// The manifest or a value couldn't be read.
+    ReadFailed(configuration::Error),
+    /// A peer's content contradicts the digest or revision number that it claimed.
+    FalseClaim,
 }
 
 impl Source {
@@ -48,27 +49,28 @@
         }
     }
 
-    fn word(&self) -> String {
+    fn label(&self) -> String {
         self.peer().map_or_else(|| "the service".to_string(), |peer| format!("peer {peer}"))
     }
 }
 
-/// The number and digest of a manifest.
-pub(super) fn shown(manifest: &Manifest) -> Shown {
+/// Number and digest of the revision of a manifest.
+pub(super) fn manifest_revision(manifest: &Manifest) -> Shown {
     let parts = manifest.parts.iter().map(|part| (&*part.name, &*part.digest));
     Shown { revision: manifest.revision, digest: part::whole(parts) }
 }
 
-/// The number and the claimed digest of what a peer tells.
-pub(super) fn claimed(news: &Update) -> Shown {
-    match news {
-        Update::Manifest(manifest) => shown(manifest),
+/// Number and claimed digest of the revision in a peer's update.
+pub(super) fn claimed_revision(update: &Update) -> Shown {
+    match update {
+        Update::Manifest(manifest) => manifest_revision(manifest),
         Update::Delta(delta) => Shown { revision: delta.revision, digest: delta.digest },
     }
 }
 
-/// Looks at a revision that is shown and notes what that says. Returns whether to take it.
-pub(super) fn judge(state: &State, shown: Shown, by: &str) -> bool {
+/// Compares an offered revision with the one in force and records the result; returns whether to apply
+/// it.
+pub(super) fn check_offered(state: &State, shown: Shown, by: &str) -> bool {
     let revisions = &state.revisions;
     let verdict = revisions.mark.borrow().judge(shown);
     let events = &state.metrics.settings;
@@ -92,23 +94,23 @@
     false
 }
 
-/// Takes a manifest in.
-pub(super) async fn manifest(
+/// Applies the revision of a manifest; only values that this node doesn't have are read.
+pub(super) async fn apply_manifest(
     state: &Rc<State>,
     source: &Source,
     manifest: &Manifest,
 ) -> Result<(), Fault> {
-    let shown = shown(manifest);
-    if !judge(state, shown, &source.word()) {
+    let shown = manifest_revision(manifest);
+    if !check_offered(state, shown, &source.label()) {
         return Ok(());
     }
-    let held = state.settings();
+    let current = state.settings();
     let read = manifest.parts.iter().map(|listed| {
-        let held = held.as_ref().and_then(|held| held.part(&listed.digest));
-        let held = held.filter(|held| *held.name == *listed.name).cloned();
+        let known = current.as_ref().and_then(|current| current.part(&listed.digest));
+        let known = known.filter(|known| *known.name == *listed.name).cloned();
         async move {
-            match held {
-                Some(held) => Ok(held),
+            match known {
+                Some(known) => Ok(known),
                 None => {
                     let text = source.value(&listed.digest).await?;
                     Ok(Rc::new(Part::parse(&listed.name, &text)))
@@ -116,68 +118,75 @@
             }
         }
     });
-    let parts: Result<Vec<_>, _> = stream::iter(read).buffered(AT_ONCE).try_collect().await;
-    put(state, source, shown, parts.map_err(Fault::Unread)?);
+    let parts: Result<Vec<_>, _> =
+        stream::iter(read).buffered(CONCURRENT_READS).try_collect().await;
+    compose_and_apply(state, source, shown, parts.map_err(Fault::ReadFailed)?);
     Ok(())
 }
 
-/// Takes in what a peer tells.
-pub(super) async fn news(state: &Rc<State>, source: &Source, news: Update) -> Result<(), Fault> {
-    match news {
-        Update::Manifest(shown) => manifest(state, source, &shown).await,
-        Update::Delta(told) => delta(state, source, told),
+/// Applies a peer's update.
+pub(super) async fn apply_update(
+    state: &Rc<State>,
+    source: &Source,
+    update: Update,
+) -> Result<(), Fault> {
+    match update {
+        Update::Manifest(shown) => apply_manifest(state, source, &shown).await,
+        Update::Delta(delta) => apply_delta(state, source, delta),
     }
 }
 
-fn delta(state: &Rc<State>, source: &Source, delta: Delta) -> Result<(), Fault> {
+fn apply_delta(state: &Rc<State>, source: &Source, delta: Delta) -> Result<(), Fault> {
     let shown = Shown { revision: delta.revision, digest: delta.digest };
-    if !judge(state, shown, &source.word()) {
+    if !check_offered(state, shown, &source.label()) {
         return Ok(());
     }
-    let Some(held) = state.settings() else { return Err(Fault::Lie) };
-    let fresh = delta.changed.iter().map(|c| Rc::new(Part::parse(&c.name, &c.text)));
-    let mut parts: Vec<Rc<Part>> = fresh.collect();
+    let Some(current) = state.settings() else { return Err(Fault::FalseClaim) };
+    let changed = delta.changed.iter().map(|c| Rc::new(Part::parse(&c.name, &c.text)));
+    let mut parts: Vec<Rc<Part>> = changed.collect();
     let replaced: HashSet<&str> = delta.changed.iter().map(|c| &*c.name).collect();
     let gone: HashSet<&str> = delta.gone.iter().map(|name| &**name).collect();
     let kept =
-        held.parts.iter().filter(|p| !replaced.contains(&*p.name) && !gone.contains(&*p.name));
+        current.parts.iter().filter(|p| !replaced.contains(&*p.name) && !gone.contains(&*p.name));
     parts.extend(kept.cloned());
     let digest = part::whole(parts.iter().map(|part| (&*part.name, &*part.digest)));
     if digest != shown.digest {
-        return Err(Fault::Lie);
+        return Err(Fault::FalseClaim);
     }
-    put(state, source, shown, parts);
+    compose_and_apply(state, source, shown, parts);
     Ok(())
 }
 
-fn put(state: &Rc<State>, source: &Source, shown: Shown, parts: Vec<Rc<Part>>) {
+/// Builds the settings of a revision from its parts and puts them in force; if they are invalid, the
+/// revision is rejected and the previous one stays.
+fn compose_and_apply(state: &Rc<State>, source: &Source, shown: Shown, parts: Vec<Rc<Part>>) {
     let last = state.settings();
     match Effective::compose(shown.revision, parts, last.as_deref()) {
         Ok(effective) => {
             state.revisions.confirmed.set(Some(state.clock.now()));
-            state.accept(effective);
+            state.apply_settings(effective);
         }
         Err(faults) => {
             state.revisions.mark.borrow_mut().refuse(shown);
             state.metrics.settings.event("refused");
-            let by = source.word();
+            let by = source.label();
             log::error!(revision = shown.revision, by = by.as_str(), faults:% = faults; "settings refused");
-            *state.refused.borrow_mut() = Some(faults.to_string());
+            *state.refusal.borrow_mut() = Some(faults.to_string());
         }
     }
 }
 
-/// Notes what came of asking someone.
-pub(super) fn note(state: &State, source: &Source, fault: &Fault) {
+/// Counts and logs a fault of a source; a peer that made a false claim is distrusted for a while.
+pub(super) fn record_fault(state: &State, source: &Source, fault: &Fault) {
     match fault {
-        Fault::Unread(cause) => {
+        Fault::ReadFailed(cause) => {
             state.metrics.settings.event("unread");
             log::warn!(cause:% = cause; "can't read the settings");
         }
-        Fault::Lie => {
+        Fault::FalseClaim => {
             state.metrics.settings.event("peer-fault");
-            let by = source.word();
-            log::error!(by = by.as_str(); "a peer's settings don't come to the digest it claims");
+            let by = source.label();
+            log::error!(by = by.as_str(); "a peer's settings contradict the revision that it claims");
             if let Some(peer) = source.peer() {
                 state.revisions.distrust(peer, state.clock.now());
             }
--- a/components/router/src/terms.rs
+++ b/components/router/src/scheduler.rs
@@ -1,4 +1,4 @@
-//! Turns settings into what the decisions know.
+//! Applies settings to the scheduler.
 
 use std::collections::BTreeSet;
 use std::rc::Rc;
@@ -8,9 +8,14 @@
 use slotmap::{Key, SecondaryMap};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Makes `effective` the terms of the decisions; what `last` had and it hasn't is forgotten. What
-/// both share isn't touched, so a small change costs little and disturbs no one else's turn.
-pub(crate) fn apply(scheduler: &mut Scheduler, last: Option<&Effective>, effective: &Effective) {
+/// Applies the settings `effective` to the scheduler, and removes what only the previous settings
+/// `last` have. What both have alike isn't touched, so that a small change costs little and doesn't
+/// affect the queued requests of others.
+pub(crate) fn apply_settings(
+    scheduler: &mut Scheduler,
+    last: Option<&Effective>,
+    effective: &Effective,
+) {
     scheduler.set_limits(policy::Limits {
         retry_percent: effective.limits.retry_percent,
         retry_burst: policy::RETRY_BURST,
@@ -39,12 +44,13 @@
     }
 }
 
+/// The values of `now` that are new or differ from those of `last`.
 fn changed<'a, K: Key, T>(
     now: &'a SecondaryMap<K, Rc<T>>,
     last: Option<&'a SecondaryMap<K, Rc<T>>>,
 ) -> impl Iterator<Item = (K, &'a T)> {
     let same = move |key: K, value: &Rc<T>| {
-        last.and_then(|last| last.get(key)).is_some_and(|held| Rc::ptr_eq(held, value))
+        last.and_then(|last| last.get(key)).is_some_and(|old| Rc::ptr_eq(old, value))
     };
     now.iter().filter(move |(key, value)| !same(*key, value)).map(|(key, value)| (key, &**value))
 }
@@ -62,16 +68,16 @@
     }
 }
 
-/// Marks the servers at the addresses that the list of VMs has as leaving `now`, and takes the mark
-/// from those that it had `before`.
-pub(crate) fn leave(
+/// Marks the servers at the addresses that the list of VMs marks as leaving `now`, and removes the mark
+/// from those that it marked `before` and no longer does.
+pub(crate) fn apply_leaving(
     scheduler: &mut Scheduler,
     effective: &Effective,
     before: &BTreeSet<String>,
     now: &BTreeSet<String>,
 ) {
-    let marked = |address: &String| before.contains(address) || now.contains(address);
-    for (key, server) in effective.servers.iter().filter(|(_, server)| marked(&server.address)) {
+    let affected = |address: &String| before.contains(address) || now.contains(address);
+    for (key, server) in effective.servers.iter().filter(|(_, server)| affected(&server.address)) {
         let leaving = server.leaving || now.contains(&server.address);
         scheduler.set_server(key, policy::Server { leaving, ..self::server(server) });
     }
--- a/components/router/src/shares.rs
+++ b/components/router/src/shares.rs
@@ -1,4 +1,5 @@
-//! Turns what peers told into shares of the servers' places.
+//! Computes this node's shares of the servers' slots and of the workspaces' limits from the peers'
+//! reports.
 
 use std::time::UNIX_EPOCH;
 
@@ -11,47 +12,48 @@
 
 use crate::state::State;
 
-/// Works out this node's share of each server and hands it to the decisions.
-pub(crate) fn apply(state: &State, own: &LocalState) {
+/// Computes this node's share of each server and of each limited workspace, and passes them to the
+/// scheduler.
+pub(crate) fn update(state: &State, own: &LocalState) {
     let Some(settings) = state.settings() else { return };
     let now = state.clock.now();
-    let mut past = state.past.borrow_mut();
-    past.record(now, own.clone());
-    let nobody = LocalState { name: own.name.clone(), ..Default::default() };
-    let settled = past.settled(now).unwrap_or(&nobody);
+    let mut history = state.history.borrow_mut();
+    history.record(now, own.clone());
+    let empty = LocalState { name: own.name.clone(), ..Default::default() };
+    let settled = history.settled(now).unwrap_or(&empty);
     let view = state.view.borrow();
     let cells = state.cells.borrow();
     let since_1970 = state.clock.wall().duration_since(UNIX_EPOCH).unwrap_or_default();
     let used =
         || cells.servers().filter_map(|(name, key)| Some((name, key, settings.servers.get(key)?)));
-    let mut unfit = state.unfit.borrow().clone();
+    let mut unroutable = state.unroutable.borrow().clone();
     let fresh =
         view.cell_peers().map(|(_, member)| member).filter(|member| view.is_fresh(member, now));
-    unfit.extend(
+    unroutable.extend(
         fresh.filter_map(|member| member.last_frame.as_ref()).flat_map(|last| &last.suspects),
     );
-    // What waits counts at each server by the server's part of all places.
-    let mut all = 0.0;
+    // Waiting requests count at each server by the server's fraction of all slots.
+    let mut all_slots = 0.0;
     let mut by_model: SecondaryMap<ids::Model, f64> = SecondaryMap::new();
     for (_, _, server) in used() {
-        all += f64::from(server.slots);
+        all_slots += f64::from(server.slots);
         for model in &server.models {
-            let held = by_model.get(*model).copied().unwrap_or(0.0);
-            by_model.insert(*model, held + f64::from(server.slots));
+            let sum = by_model.get(*model).copied().unwrap_or(0.0);
+            by_model.insert(*model, sum + f64::from(server.slots));
         }
     }
     let mut scheduler = state.driver.scheduler.borrow_mut();
     for (name, key, server) in used() {
-        if unfit.contains(&name) {
+        if unroutable.contains(&name) {
             scheduler.set_share(key, policy::Share { slots: 0, sent: 0, waiting: None }, now);
             continue;
         }
         let slots = f64::from(server.slots);
-        let part = |model: &ids::Model| {
+        let fraction = |model: &ids::Model| {
             (wire::key(settings.model_names.name(*model)), slots / by_model[*model])
         };
-        let models = server.models.iter().map(part).collect();
-        let target = Target { server: name, fraction: slots / all, models };
+        let models = server.models.iter().map(fraction).collect();
+        let target = Target { server: name, fraction: slots / all_slots, models };
         let peers = claims::peer_claims(&view, &target, now);
         let claimed = claims::own_claim(settled, &target);
         let need = claims::own_claim(own, &target).needs.iter().map(|need| need.slots).sum();
@@ -69,7 +71,8 @@
         let claimed = claims::own_workspace_claim(settled, name);
         let need = f64::from(scheduler.in_flight(key) + 1);
         let pool = Pool::new(name, workspace.in_flight, since_1970);
-        // At least one, so that no caller waits for a round: `nodes` more at most.
+        // At least one, so that no caller waits for the next exchange. The limit may be exceeded by at
+        // most one request for each node.
         scheduler.set_in_flight(key, pool.share(&claimed, need, &peers).slots.max(1));
     }
 }
--- a/components/router/src/state.rs
+++ b/components/router/src/state.rs
@@ -1,4 +1,4 @@
-//! What the tasks of a router share.
+//! Holds the state that the tasks of a router share.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeSet;
@@ -15,16 +15,17 @@
 use tokio::sync::{Notify, watch};
 
 use crate::revisions::Revisions;
-use crate::terms;
+use crate::scheduler;
 
-/// Connecting takes a millisecond on a fresh start; until settings say otherwise.
-const CONNECT: Duration = Duration::from_secs(1);
-const IDLE: Duration = Duration::from_secs(30);
-/// Bytes a second for frames until settings say otherwise.
-const CONTROL: u32 = 1_200;
+/// Connect and idle timeouts of the engine client until there are settings. Connecting normally takes
+/// about a millisecond.
+const DEFAULT_CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
+const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(30);
+/// Bytes per second for gossip frames until there are settings.
+const DEFAULT_FRAME_RATE: u32 = 1_200;
 
-/// Seed of the decisions' random choices: differs between nodes, so that they don't all choose the
-/// same server at once, and is the same in each run, so that a run can be repeated.
+/// Seed of the scheduler's random choices. It differs between nodes, so that they don't all choose the
+/// same server at the same time, and is the same in each run of a node, so that a run can be repeated.
 fn seed(name: &str) -> u64 {
     xxhash_rust::xxh3::xxh3_64(name.as_bytes())
 }
@@ -33,35 +34,37 @@
 pub(crate) struct State {
     pub(crate) node: Node,
     pub(crate) clock: clock::Runtime,
+    /// Start time of the process in milliseconds since 1970; tells its peers one start from another.
     pub(crate) incarnation: u64,
     pub(crate) settings: RefCell<Option<Rc<Effective>>>,
-    /// Why the newest revision was refused, until a good one comes.
-    pub(crate) refused: RefCell<Option<String>>,
+    /// Why the newest revision was rejected, until a valid one is in force.
+    pub(crate) refusal: RefCell<Option<String>>,
     pub(crate) revisions: Revisions,
     pub(crate) driver: Rc<Driver>,
-    /// Requests that servers crashed under.
+    /// Requests during which servers crashed.
     pub(crate) crashes: Rc<Crashes>,
     pub(crate) view: RefCell<fleet::View>,
     pub(crate) exchange: RefCell<fleet::exchange::Exchange>,
-    /// What this node told of itself over the last seconds.
-    pub(crate) past: RefCell<fleet::share::History<fleet::exchange::LocalState>>,
+    /// What this node reported of itself over the last seconds.
+    pub(crate) history: RefCell<fleet::share::History<fleet::exchange::LocalState>>,
     pub(crate) cells: RefCell<crate::cells::Cells>,
-    /// Servers that get no new work until they show what the settings want.
-    pub(crate) unfit: RefCell<std::collections::BTreeSet<u32>>,
-    /// Where its peers' listener is.
-    pub(crate) address: RefCell<String>,
-    /// Addresses of backend servers that the list of VMs has as leaving.
-    pub(crate) leaving: RefCell<BTreeSet<String>>,
-    /// This node as the home of idempotency keys.
-    pub(crate) home: RefCell<idempotency::Owner>,
-    pub(crate) engines: RefCell<engine::Client>,
-    pub(crate) http: awc::Client,
+    /// Servers, by the key of their name, that get no new requests until they have the version and
+    /// adapters that the settings name.
+    pub(crate) unroutable: RefCell<std::collections::BTreeSet<u32>>,
+    /// Address of this node's listener for peers.
+    pub(crate) peer_address: RefCell<String>,
+    /// Addresses of backend servers that the list of VMs marks as leaving.
+    pub(crate) leaving_addresses: RefCell<BTreeSet<String>>,
+    /// This node's records as the owner of idempotency keys.
+    pub(crate) key_owner: RefCell<idempotency::Owner>,
+    pub(crate) engine_client: RefCell<engine::Client>,
+    pub(crate) peer_client: awc::Client,
     pub(crate) metrics: Metrics,
     pub(crate) draining: Cell<bool>,
-    /// Limits of the callers' listener.
-    pub(crate) limits: watch::Sender<listen::Limits>,
-    held: RefCell<Slab<ids::Request>>,
-    ended: Notify,
+    /// Limits of the listener for callers.
+    pub(crate) listener_limits: watch::Sender<listen::Limits>,
+    open_requests: RefCell<Slab<ids::Request>>,
+    request_ended: Notify,
 }
 
 impl State {
@@ -70,7 +73,7 @@
         let since = clock.wall().duration_since(std::time::UNIX_EPOCH).unwrap_or_default();
         let seed = seed(&node.name);
         let scheduler = Scheduler::with_seed(seed);
-        let home = idempotency::Owner::new(idempotency::Member {
+        let key_owner = idempotency::Owner::new(idempotency::Member {
             name: node.name.clone(),
             address: String::new(),
         });
@@ -79,92 +82,107 @@
             clock,
             incarnation: since.as_millis() as u64,
             settings: RefCell::default(),
-            refused: RefCell::default(),
+            refusal: RefCell::default(),
             revisions: Revisions::new(),
             driver: Driver::new(scheduler, clock),
             crashes: Crashes::new(seed, clock),
             view: RefCell::new(fleet::View::new()),
-            exchange: RefCell::new(fleet::exchange::Exchange::new(CONTROL, clock.now())),
-            past: RefCell::default(),
+            exchange: RefCell::new(fleet::exchange::Exchange::new(DEFAULT_FRAME_RATE, clock.now())),
+            history: RefCell::default(),
             cells: RefCell::default(),
-            unfit: RefCell::default(),
-            address: RefCell::default(),
-            leaving: RefCell::default(),
-            home: RefCell::new(home),
-            engines: RefCell::new(engine::Client::new(CONNECT, IDLE)),
-            http: awc::Client::default(),
+            unroutable: RefCell::default(),
+            peer_address: RefCell::default(),
+            leaving_addresses: RefCell::default(),
+            key_owner: RefCell::new(key_owner),
+            engine_client: RefCell::new(engine::Client::new(
+                DEFAULT_CONNECT_TIMEOUT,
+                DEFAULT_IDLE_TIMEOUT,
+            )),
+            peer_client: awc::Client::default(),
             metrics: Metrics::new(),
             draining: Cell::new(false),
-            limits: watch::channel(listen::Limits::default()).0,
-            held: RefCell::default(),
-            ended: Notify::new(),
+            listener_limits: watch::channel(listen::Limits::default()).0,
+            open_requests: RefCell::default(),
+            request_ended: Notify::new(),
         })
     }
 
-    pub(crate) fn ready(&self) -> bool {
-        self.settings.borrow().is_some() && !self.draining.get() && !self.revisions.woken()
+    /// Whether the node can serve callers: it has settings that aren't in doubt after a pause of the
+    /// process, and isn't draining.
+    pub(crate) fn is_ready(&self) -> bool {
+        self.settings.borrow().is_some() && !self.draining.get() && !self.revisions.is_catching_up()
     }
 
     pub(crate) fn settings(&self) -> Option<Rc<Effective>> {
         self.settings.borrow().clone()
     }
 
-    /// Time of day for keys. The monotonic clock stands still while a VM is suspended, and the time
+    /// Time of day for idempotency keys. The monotonic clock stops while a VM is suspended, and the time
     /// of day may be set back; the later of the two does neither.
-    pub(crate) fn wall(&self) -> SystemTime {
+    pub(crate) fn key_time(&self) -> SystemTime {
         self.clock.wall().max(SystemTime::now())
     }
 
-    /// Requests that were received and haven't been answered to the end.
-    pub(crate) fn held(&self) -> usize {
-        self.held.borrow().len()
+    /// Number of requests that were received and haven't been answered completely.
+    pub(crate) fn open_requests(&self) -> usize {
+        self.open_requests.borrow().len()
     }
 
-    /// Their ids.
-    pub(crate) fn held_ids(&self) -> Vec<ids::Request> {
-        self.held.borrow().iter().map(|(_, id)| *id).collect()
+    /// Ids of the open requests.
+    pub(crate) fn open_request_ids(&self) -> Vec<ids::Request> {
+        self.open_requests.borrow().iter().map(|(_, id)| *id).collect()
     }
 
-    /// Ends once no request is held.
-    pub(crate) async fn idle(&self) {
-        while self.held() > 0 {
-            self.ended.notified().await;
+    /// Waits until no request is open.
+    pub(crate) async fn wait_until_idle(&self) {
+        while self.open_requests() > 0 {
+            self.request_ended.notified().await;
         }
     }
 
-    /// Counts a request as held for as long as the token lives.
-    pub(crate) fn hold(self: &Rc<Self>, id: ids::Request) -> Held {
-        let key = self.held.borrow_mut().insert(id);
-        Held { state: self.clone(), key }
+    /// Counts a request as open until the returned guard is dropped.
+    pub(crate) fn open_request(self: &Rc<Self>, id: ids::Request) -> OpenRequest {
+        let key = self.open_requests.borrow_mut().insert(id);
+        OpenRequest { state: self.clone(), key }
     }
 
-    /// Puts a revision in force; one that isn't newer changes nothing.
-    pub(crate) fn accept(&self, effective: Effective) {
-        if !self.revisions.hold(&effective) {
+    /// Puts a revision of the settings in force; one that isn't newer changes nothing.
+    pub(crate) fn apply_settings(&self, effective: Effective) {
+        if !self.revisions.record_in_force(&effective) {
             return;
         }
         let last = self.settings();
-        terms::apply(&mut self.driver.scheduler.borrow_mut(), last.as_deref(), &effective);
-        let leaving = self.leaving.borrow().clone();
-        terms::leave(&mut self.driver.scheduler.borrow_mut(), &effective, &leaving, &leaving);
+        scheduler::apply_settings(
+            &mut self.driver.scheduler.borrow_mut(),
+            last.as_deref(),
+            &effective,
+        );
+        let leaving = self.leaving_addresses.borrow().clone();
+        scheduler::apply_leaving(
+            &mut self.driver.scheduler.borrow_mut(),
+            &effective,
+            &leaving,
+            &leaving,
+        );
         let limits = &effective.limits;
-        let waits = |limits: &settings::Limits| (limits.connect, limits.idle_stream);
-        if last.is_none_or(|last| waits(&last.limits) != waits(limits)) {
-            *self.engines.borrow_mut() = engine::Client::new(limits.connect, limits.idle_stream);
+        let timeouts = |limits: &settings::Limits| (limits.connect, limits.idle_stream);
+        if last.is_none_or(|last| timeouts(&last.limits) != timeouts(limits)) {
+            *self.engine_client.borrow_mut() =
+                engine::Client::new(limits.connect, limits.idle_stream);
         }
-        self.limits.send_replace(intake(limits));
+        self.listener_limits.send_replace(listener_limits(limits));
         log::info!(revision = effective.revision; "settings in force");
         self.metrics.settings.event("accepted");
         self.metrics.settings.revision(effective.revision);
         self.metrics.settings.conflict(false);
-        *self.refused.borrow_mut() = None;
+        *self.refusal.borrow_mut() = None;
         *self.settings.borrow_mut() = Some(Rc::new(effective));
         self.driver.run_actions();
     }
 }
 
-/// Limits of the callers' listener under these settings.
-fn intake(limits: &settings::Limits) -> listen::Limits {
+/// Limits of the listener for callers by these settings.
+fn listener_limits(limits: &settings::Limits) -> listen::Limits {
     listen::Limits {
         max_connections: limits.connections,
         head_timeout: limits.head_time,
@@ -173,15 +191,15 @@
     }
 }
 
-/// Counts one request as held.
-pub(crate) struct Held {
+/// A guard that counts one request as open.
+pub(crate) struct OpenRequest {
     state: Rc<State>,
     key: usize,
 }
 
-impl Drop for Held {
+impl Drop for OpenRequest {
     fn drop(&mut self) {
-        self.state.held.borrow_mut().remove(self.key);
-        self.state.ended.notify_waiters();
+        self.state.open_requests.borrow_mut().remove(self.key);
+        self.state.request_ended.notify_waiters();
     }
 }
--- a/components/router/src/stream.rs
+++ b/components/router/src/stream.rs
@@ -1,5 +1,5 @@
-//! Passes a stream on from a backend server to a caller, as it comes and no faster than it is read.
-//! Where a stream breaks, or the decisions stop it, another server that can goes on with it.
+//! Relays a stream from a backend server to a caller, no faster than the caller reads it. If the stream
+//! ends early, or the scheduler stops it, a server that supports resumption continues it.
 
 use std::io;
 use std::time::{Duration, Instant};
@@ -13,86 +13,100 @@
 use policy::Ending;
 use tokio::sync::mpsc;
 
-use crate::place::Place;
-use crate::relay::{Parcel, Trouble, answered, note};
-use crate::state::Held;
+use crate::relay::{AttemptError, Payload, record_outcome, record_response_time};
+use crate::state::OpenRequest;
+use crate::submission::Submission;
 
-/// Pieces that wait for a caller who reads slowly, where the stream goes on without its caller.
-const AHEAD: usize = 64;
-/// Time for the last event to reach the socket before the connection is cut under it.
-pub(crate) const FLUSH: Duration = Duration::from_millis(100);
+/// Pieces of a stream that are buffered for a slow caller, if the stream is read independently of its
+/// caller.
+const BUFFERED_PIECES: usize = 64;
+/// Time for the last event to reach the socket before the connection is aborted.
+pub(crate) const FLUSH_DELAY: Duration = Duration::from_millis(100);
 
-/// Outcome in logs and metrics of a stream whose caller went away.
-const GONE: &str = "caller-gone";
-/// Start of the event that tells of a broken stream.
-pub(crate) const BROKEN: &str = "event: error\n";
+/// Outcome in logs and metrics of a stream whose caller disconnected.
+const CALLER_GONE: &str = "caller-gone";
+/// First line of the event that ends a truncated stream.
+pub(crate) const ERROR_EVENT: &str = "event: error\n";
 
-/// A stream under way from a backend server to a caller.
-pub(crate) struct Passing {
-    place: Place,
+/// A stream that is relayed from a backend server to a caller.
+pub(crate) struct Relay {
+    submission: Submission,
     life: Option<lifecycle::Request<Streaming>>,
     source: Box<engine::Stream>,
-    /// What came before the answer was begun.
+    /// What the server sent before the response to the caller began.
     first: Option<Piece>,
-    parcel: Parcel,
-    last: Option<Instant>,
-    /// Tokens passed on, while the answer hasn't come to its end.
+    payload: Payload,
+    /// When tokens were last relayed.
+    last_tokens: Option<Instant>,
+    /// Tokens relayed so far; set to 0 at the regular end of the stream.
     tokens: u32,
-    broken: bool,
+    /// The error event was sent; the connection must be aborted next.
+    truncated: bool,
     #[allow(dead_code, reason = "counts the request until the stream ends")]
-    held: Held,
+    open: OpenRequest,
 }
 
-impl Passing {
+impl Relay {
     pub(crate) fn new(
-        place: Place,
+        submission: Submission,
         life: lifecycle::Request<Streaming>,
         source: Box<engine::Stream>,
         first: Option<Piece>,
-        parcel: Parcel,
-        held: Held,
+        payload: Payload,
+        open: OpenRequest,
     ) -> Self {
         let life = Some(life);
-        Passing { place, life, source, first, parcel, last: None, tokens: 0, broken: false, held }
+        Relay {
+            submission,
+            life,
+            source,
+            first,
+            payload,
+            last_tokens: None,
+            tokens: 0,
+            truncated: false,
+            open,
+        }
     }
 
-    /// The next bytes for the caller. A stream that isn't whole ends with an event that says so and
-    /// then with an error, which leaves out the last chunk: it looks whole on no level.
+    /// The next bytes for the caller. A truncated stream ends with an error event, and then with an I/O
+    /// error, so that the last chunk is missing: neither SSE nor HTTP shows it as complete.
     async fn next(&mut self) -> Option<io::Result<Bytes>> {
-        if self.broken {
-            self.broken = false;
-            tokio::time::sleep(FLUSH).await;
+        if self.truncated {
+            self.truncated = false;
+            tokio::time::sleep(FLUSH_DELAY).await;
             return Some(Err(io::Error::other("the answer broke off")));
         }
         self.life.as_ref()?;
         loop {
-            let trouble = match self.piece().await {
-                Ok(Some(piece)) => return Some(Ok(self.passed(piece))),
-                Ok(None) => return self.whole(),
-                Err(trouble) => trouble,
+            let error = match self.next_piece().await {
+                Ok(Some(piece)) => return Some(Ok(self.record_piece(piece))),
+                Ok(None) => return self.finish(),
+                Err(error) => error,
             };
-            // Boxed, since it is seldom needed and would double the memory of each open stream.
-            if !Box::pin(self.resume(trouble)).await {
-                return self.broke();
+            // Boxed, because it is rarely needed and would double the memory of each open stream.
+            if !Box::pin(self.resume(error)).await {
+                return self.truncate();
             }
         }
     }
 
-    async fn piece(&mut self) -> Result<Option<Piece>, Trouble> {
+    async fn next_piece(&mut self) -> Result<Option<Piece>, AttemptError> {
         if let Some(first) = self.first.take() {
             return Ok(Some(first));
         }
-        if self.parcel.repeatable().is_none() {
-            return self.source.next().await.map_err(Trouble::Failure);
+        if self.payload.repeatable().is_none() {
+            return self.source.next().await.map_err(AttemptError::Failure);
         }
         tokio::select! {
-            piece = self.source.next() => piece.map_err(Trouble::Failure),
-            _ = self.place.stopped() => Err(Trouble::Stopped),
+            piece = self.source.next() => piece.map_err(AttemptError::Failure),
+            _ = self.submission.wait_for_stop() => Err(AttemptError::Stopped),
         }
     }
 
-    fn passed(&mut self, piece: Piece) -> Bytes {
-        let state = &self.place.state;
+    /// Updates metrics and the scheduler; returns the bytes for the caller.
+    fn record_piece(&mut self, piece: Piece) -> Bytes {
+        let state = &self.submission.state;
         for _ in 0..piece.dropped {
             state.metrics.crossed();
         }
@@ -101,119 +115,130 @@
         }
         self.tokens += piece.tokens;
         let now = state.clock.now();
-        let class = &self.parcel.class.name;
-        self.place.tokens(piece.tokens);
-        match self.last.replace(now) {
-            None => state.metrics.first_token(class, now - self.parcel.request.arrived),
+        let class = &self.payload.class.name;
+        self.submission.record_tokens(piece.tokens);
+        match self.last_tokens.replace(now) {
+            None => state.metrics.first_token(class, now - self.payload.request.arrived),
             Some(last) => state.metrics.token_interval(class, (now - last) / piece.tokens),
         }
         piece.bytes
     }
 
-    fn whole(&mut self) -> Option<io::Result<Bytes>> {
+    /// Ends a complete stream.
+    fn finish(&mut self) -> Option<io::Result<Bytes>> {
         let life = self.life.take()?;
-        self.place.end(Ending::Completed);
+        self.submission.end_attempt(Ending::Completed);
         self.tokens = 0;
-        answered(&self.place.state, &self.parcel);
-        if let Some(claim) = &self.parcel.claim {
+        record_response_time(&self.submission.state, &self.payload);
+        if let Some(claim) = &self.payload.claim {
             claim.complete(None);
         }
-        note(&self.place.state, life.id(), &self.parcel.class.name, life.complete());
+        record_outcome(
+            &self.submission.state,
+            life.id(),
+            &self.payload.class.name,
+            life.complete(),
+        );
         None
     }
 
-    fn broke(&mut self) -> Option<io::Result<Bytes>> {
+    /// Ends a truncated stream; returns the error event.
+    fn truncate(&mut self) -> Option<io::Result<Bytes>> {
         let life = self.life.take()?;
         let id = life.id();
-        self.broken = true;
-        note(&self.place.state, id, &self.parcel.class.name, life.truncated());
-        Some(Ok(broken(id)))
+        self.truncated = true;
+        record_outcome(&self.submission.state, id, &self.payload.class.name, life.truncated());
+        Some(Ok(truncated_event(id)))
     }
 
-    /// Looks for a server that goes on where the stream stopped. False where none does.
-    async fn resume(&mut self, trouble: Trouble) -> bool {
+    /// Continues the stream at another server where it stopped; returns whether one does.
+    async fn resume(&mut self, error: AttemptError) -> bool {
         let Some(mut life) = self.life.take() else { return false };
-        let mut trouble = trouble;
+        let mut error = error;
         loop {
-            trouble.note(&self.place, life.id(), life.attempt());
-            self.place.state.metrics.failed(&self.parcel.class.name);
+            error.record(&self.submission, life.id(), life.attempt());
+            self.submission.state.metrics.failed(&self.payload.class.name);
             let point = self.source.point();
-            let (Some(proof), Some(point)) = (self.parcel.repeatable(), point) else {
-                self.place.end(trouble.last());
+            let (Some(proof), Some(point)) = (self.payload.repeatable(), point) else {
+                self.submission.end_attempt(error.final_ending());
                 break;
             };
-            if !self.place.end(trouble.ending()) {
+            if !self.submission.end_attempt(error.ending()) {
                 break;
             }
-            let server = self.place.turn().await;
+            let server = self.submission.wait_for_server().await;
             let Some(server) = server.ok().filter(|server| server.resumes) else { break };
             life = life.pause(proof).resume();
-            let call = self.parcel.call(life.id(), life.attempt(), &server);
-            trouble = match self.ask(&call, &point).await {
+            let call = self.payload.call(life.id(), life.attempt(), &server);
+            error = match self.request_resumption(&call, &point).await {
                 Ok(source) => {
                     self.source = source;
                     self.life = Some(life);
                     return true;
                 }
-                Err(trouble) => trouble,
+                Err(error) => error,
             };
         }
         self.life = Some(life);
         false
     }
 
-    async fn ask(&mut self, call: &Call, point: &Point) -> Result<Box<engine::Stream>, Trouble> {
-        let engines = self.place.state.engines.borrow().clone();
+    async fn request_resumption(
+        &mut self,
+        call: &Call,
+        point: &Point,
+    ) -> Result<Box<engine::Stream>, AttemptError> {
+        let engines = self.submission.state.engine_client.borrow().clone();
         let reply = tokio::select! {
-            reply = engines.resume(call, point) => reply.map_err(Trouble::Failure)?,
-            _ = self.place.stopped() => return Err(Trouble::Stopped),
+            reply = engines.resume(call, point) => reply.map_err(AttemptError::Failure)?,
+            _ = self.submission.wait_for_stop() => return Err(AttemptError::Stopped),
         };
         match reply {
             Reply::Stream(source) => Ok(source),
-            Reply::Whole(whole) => Err(Trouble::Failure(Failure::Lost {
+            Reply::Whole(whole) => Err(AttemptError::Failure(Failure::Lost {
                 address: call.address.clone(),
-                cause: format!("status {} in place of a stream", whole.status),
+                cause: format!("status {} in submission of a stream", whole.status),
             })),
         }
     }
 }
 
-impl Drop for Passing {
+impl Drop for Relay {
     fn drop(&mut self) {
         if let Some(life) = &self.life {
-            let (id, class) = (life.id(), self.parcel.class.name.as_str());
-            self.place.state.metrics.outcome(class, GONE);
-            log::info!(request:% = id, class = class, outcome = GONE; "ended");
+            let (id, class) = (life.id(), self.payload.class.name.as_str());
+            self.submission.state.metrics.outcome(class, CALLER_GONE);
+            log::info!(request:% = id, class = class, outcome = CALLER_GONE; "ended");
         }
         if self.tokens > 0 {
-            self.place.state.metrics.wasted(&self.parcel.class.name, self.tokens.into());
+            self.submission.state.metrics.wasted(&self.payload.class.name, self.tokens.into());
         }
     }
 }
 
-/// The event that ends a stream which isn't whole. No end mark follows it.
-pub(crate) fn broken(id: ids::Request) -> Bytes {
+/// The event that ends a truncated stream; no end mark follows it.
+pub(crate) fn truncated_event(id: ids::Request) -> Bytes {
     let error = serde_json::json!({"error": {
         "message": "the answer broke off; what came isn't whole, send the request again",
         "type": "server_error",
         "outcome": Outcome::Truncated.as_str(),
         "request_id": id.to_string(),
     }});
-    Bytes::from(format!("{BROKEN}data: {error}\n\n"))
+    Bytes::from(format!("{ERROR_EVENT}data: {error}\n\n"))
 }
 
-/// The body of the answer. A stream that may not be repeated is read to its end even after its
-/// caller went away, since closing it would cancel what can't be sent again.
-pub(crate) fn body(passing: Passing) -> BoxBody {
-    if passing.parcel.class.idempotent {
-        let events = stream::unfold(passing, |mut passing| async move {
-            let bytes = passing.next().await?;
-            Some((bytes, passing))
+/// The body of the response. The stream of a request that must not run twice is read to its end even if
+/// the caller disconnects, because closing it would cancel a request that can't be sent again.
+pub(crate) fn body(relay: Relay) -> BoxBody {
+    if relay.payload.class.idempotent {
+        let events = stream::unfold(relay, |mut relay| async move {
+            let bytes = relay.next().await?;
+            Some((bytes, relay))
         });
         return BodyStream::new(Box::pin(events)).boxed();
     }
-    let (sender, receiver) = mpsc::channel(AHEAD);
-    actix_rt::spawn(carry(passing, sender));
+    let (sender, receiver) = mpsc::channel(BUFFERED_PIECES);
+    actix_rt::spawn(forward_all(relay, sender));
     let events = stream::unfold(receiver, |mut receiver| async move {
         let bytes = receiver.recv().await?;
         Some((bytes, receiver))
@@ -221,8 +246,8 @@
     BodyStream::new(Box::pin(events)).boxed()
 }
 
-async fn carry(mut passing: Passing, sender: mpsc::Sender<io::Result<Bytes>>) {
-    while let Some(bytes) = passing.next().await {
+async fn forward_all(mut relay: Relay, sender: mpsc::Sender<io::Result<Bytes>>) {
+    while let Some(bytes) = relay.next().await {
         let _ = sender.send(bytes).await;
     }
 }
--- a/examples/figures/stage.rs
+++ b/examples/figures/stage.rs
@@ -26,10 +26,10 @@
         std::thread::spawn(move || {
             actix_rt::System::new().block_on(async {
                 let router = Router::start(node(platform)).await.expect("free ports");
-                while !router.ready() {
+                while !router.is_ready() {
                     tokio::time::sleep(Duration::from_millis(10)).await;
                 }
-                let _ = sender.send((router.callers(), machine::this_thread()));
+                let _ = sender.send((router.caller_address(), machine::this_thread()));
                 std::future::pending::<()>().await;
             });
         });
--- a/examples/idle.rs
+++ b/examples/idle.rs
@@ -62,7 +62,7 @@
     let vm = |(index, router): (usize, &Router)| Vm {
         name: format!("entry-{index}"),
         role: Role::Entry,
-        address: router.peers().to_string(),
+        address: router.peer_address().to_string(),
         domain: "riga-a".to_string(),
         leaving: false,
     };
--- a/examples/spread.rs
+++ b/examples/spread.rs
@@ -54,7 +54,7 @@
     let vm = |(index, router): (usize, &Router)| Vm {
         name: format!("entry-{index}"),
         role: Role::Entry,
-        address: router.peers().to_string(),
+        address: router.peer_address().to_string(),
         domain: format!("main-{}", index % 3),
         leaving: false,
     };
--- a/src/bin/godwitleverd.rs
+++ b/src/bin/godwitleverd.rs
@@ -116,7 +116,7 @@
         };
         telemetry::start(form, log::LevelFilter::Info)?;
         let router = Router::start(node).await?;
-        log::info!(callers:% = router.callers(), operators:% = router.operators(); "listening");
+        log::info!(callers:% = router.caller_address(), operators:% = router.operator_address(); "listening");
         Ok(Running::Own(router))
     }
 
@@ -146,7 +146,7 @@
 
     fn held(&self) -> usize {
         match self {
-            Running::Own(router) => router.held(),
+            Running::Own(router) => router.open_requests(),
             Running::Adapted(proxy) => proxy.open_requests(),
         }
     }
@@ -162,7 +162,7 @@
     /// Ends at once; returns how many requests were cut.
     fn cut(&self) -> usize {
         match self {
-            Running::Own(router) => router.cut().len(),
+            Running::Own(router) => router.abort().len(),
             Running::Adapted(proxy) => proxy.abort().len(),
         }
     }
--- a/src/cmd/demo/site.rs
+++ b/src/cmd/demo/site.rs
@@ -45,7 +45,7 @@
         }
         let entries = site.routers.iter().enumerate();
         site.platform.list(entries.map(|(index, router)| vm(index, router)).collect());
-        while !site.routers.iter().all(Router::ready) {
+        while !site.routers.iter().all(Router::is_ready) {
             tokio::time::sleep(POLL).await;
         }
         Ok(site)
@@ -53,7 +53,7 @@
 
     /// Callers' address of a router.
     pub fn callers(&self, index: usize) -> SocketAddr {
-        self.routers[index % self.routers.len()].callers()
+        self.routers[index % self.routers.len()].caller_address()
     }
 
     /// How often the stand-ins ran the request of a record.
@@ -74,7 +74,7 @@
         format!(
             "{ROUTERS} routers before {ENGINES} engines of {SLOTS} places and a desk; status at \
              http://{}/status",
-            self.routers[0].operators()
+            self.routers[0].operator_address()
         )
     }
 
@@ -126,6 +126,6 @@
 }
 
 fn vm(index: usize, router: &Router) -> Vm {
-    let address = router.peers().to_string();
+    let address = router.peer_address().to_string();
     Vm { name: name(index), role: Role::Entry, address, domain: DOMAIN.to_string(), leaving: false }
 }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -70,7 +70,7 @@
             site.routers.push(Router::start(node(index, &site.platform)).await.unwrap());
         }
         let ready = async {
-            while !site.routers.iter().all(Router::ready) {
+            while !site.routers.iter().all(Router::is_ready) {
                 tokio::time::sleep(Duration::from_millis(10)).await;
             }
         };
@@ -83,7 +83,7 @@
     /// Sends bytes to the first router on a connection of their own; returns all that comes back
     /// until the connection ends.
     pub async fn session(&self, bytes: &[u8]) -> String {
-        session(self.routers[0].callers(), bytes).await
+        session(self.routers[0].caller_address(), bytes).await
     }
 }
 
@@ -140,7 +140,7 @@
     let vm = |(index, router): (usize, &Router)| Vm {
         name: format!("entry-{index}"),
         role: Role::Entry,
-        address: router.peers().to_string(),
+        address: router.peer_address().to_string(),
         domain: "riga-a".to_string(),
         leaving: false,
     };
--- a/tests/crashes.rs
+++ b/tests/crashes.rs
@@ -48,10 +48,10 @@
     }
     platform.publish(1, &[("tree", &tree)]);
     let router = Router::start(node(0, &platform)).await.unwrap();
-    while !router.ready() {
+    while !router.is_ready() {
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
-    let send = async |body| session(router.callers(), &post("/desk/charge", "", body)).await;
+    let send = async |body| session(router.caller_address(), &post("/desk/charge", "", body)).await;
     let mut last = String::new();
     for _ in 0..SERVERS {
         last = send("a poison").await;
--- a/tests/faults/main.rs
+++ b/tests/faults/main.rs
@@ -174,7 +174,8 @@
     ];
     for (moment, kind, fault, open) in table {
         let site = Pair::start(move |_| script(fault, kind)).await;
-        let mut caller = tokio::net::TcpStream::connect(site.router.callers()).await.unwrap();
+        let mut caller =
+            tokio::net::TcpStream::connect(site.router.caller_address()).await.unwrap();
         caller.write_all(&site::bytes(kind)).await.unwrap();
         tokio::time::sleep(Duration::from_secs(1)).await;
         assert_eq!((site.runs(), site.open()), (1, 1), "{moment}");
@@ -182,7 +183,7 @@
         tokio::time::sleep(Duration::from_millis(100)).await;
         assert_eq!(site.open(), open, "{moment}");
         tokio::time::sleep(Duration::from_secs(60)).await;
-        assert_eq!((site.runs(), site.open(), site.router.held()), (1, 0, 0), "{moment}");
+        assert_eq!((site.runs(), site.open(), site.router.open_requests()), (1, 0, 0), "{moment}");
     }
 }
 
@@ -199,7 +200,7 @@
     let site = Pair::with("resumes = true\nslots = 1", steps).await;
     let draft = String::from_utf8(site::bytes(Kind::Stream)).unwrap();
     let draft = draft.replacen("\r\n\r\n", "\r\nx-class: draft\r\n\r\n", 1).into_bytes();
-    let address = site.router.callers();
+    let address = site.router.caller_address();
     let drafts = [draft.clone(), draft]
         .map(|bytes| actix_rt::spawn(async move { common::session(address, &bytes).await }));
     tokio::time::sleep(Duration::from_secs(1)).await;
--- a/tests/faults/site.rs
+++ b/tests/faults/site.rs
@@ -87,14 +87,14 @@
         let platform = Platform::start().await.unwrap();
         platform.publish(1, &[("tree", tree)]);
         let router = Router::start(node(0, &platform)).await.unwrap();
-        while !router.ready() {
+        while !router.is_ready() {
             tokio::time::sleep(std::time::Duration::from_millis(10)).await;
         }
         Pair { platform, servers, closed: vec![], router }
     }
 
     pub async fn call(&self, kind: Kind) -> Told {
-        told(&session(self.router.callers(), &bytes(kind)).await)
+        told(&session(self.router.caller_address(), &bytes(kind)).await)
     }
 
     /// How often requests were run, over both servers.
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -75,7 +75,7 @@
             for to in (0..self.routers.len()).filter(|to| *to != from) {
                 let Some(router) = &self.routers[to] else { continue };
                 if let Entry::Vacant(entry) = self.links.entry((from, to)) {
-                    entry.insert(Link::start(router.peers()).await.unwrap());
+                    entry.insert(Link::start(router.peer_address()).await.unwrap());
                 }
             }
             let links = self.links.iter().filter(|((near, _), _)| *near == from);
@@ -96,7 +96,7 @@
     }
 
     fn live(&self) -> Vec<std::net::SocketAddr> {
-        self.routers.iter().flatten().map(Router::callers).collect()
+        self.routers.iter().flatten().map(Router::caller_address).collect()
     }
 }
 
--- a/tests/garbage.rs
+++ b/tests/garbage.rs
@@ -35,5 +35,5 @@
     }
     assert!(served > 0 && refused > 0, "{served} served, {refused} refused: too much of a kind");
     assert_eq!(site.engines[0].total(), served);
-    assert_eq!(site.routers[0].held(), 0);
+    assert_eq!(site.routers[0].open_requests(), 0);
 }
--- a/tests/gone.rs
+++ b/tests/gone.rs
@@ -25,12 +25,12 @@
 // and other callers wait for its place.
 async fn leaves_before_the_first_token(body: &str) {
     let site = Site::tuned(1, 1, SLOW, "").await;
-    let caller = open(site.routers[0].callers(), &chat(body)).await;
+    let caller = open(site.routers[0].caller_address(), &chat(body)).await;
     assert!(eventually(|| site.engines[0].running() == 1).await);
     drop(caller);
     tokio::time::sleep(SOON).await;
     assert_eq!(site.engines[0].running(), 0, "{body}");
-    assert_eq!(site.routers[0].held(), 0, "{body}");
+    assert_eq!(site.routers[0].open_requests(), 0, "{body}");
 }
 
 #[actix_rt::test]
@@ -48,12 +48,12 @@
 #[actix_rt::test]
 async fn can_cancel_in_a_stream() {
     let site = Site::tuned(1, 1, SLOW, "").await;
-    let mut caller = open(site.routers[0].callers(), &chat(STREAMED)).await;
+    let mut caller = open(site.routers[0].caller_address(), &chat(STREAMED)).await;
     until(&mut caller, "w0").await;
     drop(caller);
     tokio::time::sleep(SOON).await;
     assert_eq!(site.engines[0].running(), 0);
-    assert_eq!(site.routers[0].held(), 0);
+    assert_eq!(site.routers[0].open_requests(), 0);
 }
 
 /// A caller gives up while its request waits in the queue. The request must leave the queue: run
@@ -63,12 +63,12 @@
     let site = Site::tuned(1, 1, SLOW, "").await;
     let mut callers = vec![];
     for _ in 0..6 {
-        callers.push(open(site.routers[0].callers(), &chat(WHOLE)).await);
+        callers.push(open(site.routers[0].caller_address(), &chat(WHOLE)).await);
     }
-    assert!(eventually(|| site.routers[0].held() == 6).await);
+    assert!(eventually(|| site.routers[0].open_requests() == 6).await);
     drop(callers);
     tokio::time::sleep(SOON).await;
-    assert_eq!(site.routers[0].held(), 0);
+    assert_eq!(site.routers[0].open_requests(), 0);
     assert_eq!(site.engines[0].running(), 0);
     assert!(site.engines[0].total() <= 4, "some ran after their callers had gone");
 }
@@ -80,12 +80,12 @@
     let site = Site::tuned(1, 1, common::PACE, "").await;
     site.desk.set_pace(Duration::from_secs(5));
     let charge = post("/desk/charge", "x-class: charge\r\n", "{}");
-    let caller = open(site.routers[0].callers(), &charge).await;
+    let caller = open(site.routers[0].caller_address(), &charge).await;
     assert!(eventually(|| site.desk.total() == 1).await);
     drop(caller);
     tokio::time::sleep(Duration::from_secs(1)).await;
-    assert_eq!((site.routers[0].held(), site.desk.ended()), (1, 0));
-    assert!(eventually(|| site.routers[0].held() == 0).await);
+    assert_eq!((site.routers[0].open_requests(), site.desk.ended()), (1, 0));
+    assert!(eventually(|| site.routers[0].open_requests() == 0).await);
     assert_eq!((site.desk.total(), site.desk.ended()), (1, 1));
 }
 
@@ -98,14 +98,14 @@
     let charge = post("/desk/charge", "x-class: charge\r\n", "{}");
     let mut callers = vec![];
     for _ in 0..10 {
-        callers.push(open(site.routers[0].callers(), &charge).await);
+        callers.push(open(site.routers[0].caller_address(), &charge).await);
     }
-    assert!(eventually(|| site.routers[0].held() == 10).await);
+    assert!(eventually(|| site.routers[0].open_requests() == 10).await);
     tokio::time::sleep(Duration::from_secs(1)).await;
     let begun = site.desk.total();
     assert!(begun < 10, "none waited");
     drop(callers);
-    assert!(eventually(|| site.routers[0].held() == 0).await);
+    assert!(eventually(|| site.routers[0].open_requests() == 0).await);
     assert_eq!((site.desk.total(), site.desk.ended()), (begun, begun));
 }
 
@@ -120,7 +120,7 @@
     let site = Site::tuned(1, 1, pace, more).await;
     with_system();
     let endless = r#"{"model":"small","max_tokens":1000000,"stream":true}"#;
-    let slow = open(site.routers[0].callers(), &chat(endless)).await;
+    let slow = open(site.routers[0].caller_address(), &chat(endless)).await;
     assert!(eventually(|| site.engines[0].running() == 1).await);
     // The stream comes to a halt once all buffers on the way are full.
     let mut last = 0;
@@ -140,7 +140,7 @@
     assert!(answer.contains("data: [DONE]"), "{answer}");
     tokio::time::sleep(Duration::from_secs(12)).await;
     assert_eq!(site.engines[0].running(), 0, "the slow reader still holds its place");
-    assert_eq!(site.routers[0].held(), 0);
+    assert_eq!(site.routers[0].open_requests(), 0);
     drop(slow);
 }
 
@@ -153,7 +153,7 @@
     let site = Site::tuned(1, 1, pace, more).await;
     with_system();
     let long = r#"{"model":"small","max_tokens":30000,"stream":true}"#;
-    let mut reader = open(site.routers[0].callers(), &chat(long)).await;
+    let mut reader = open(site.routers[0].caller_address(), &chat(long)).await;
     let mut buf = vec![0; 64 << 10];
     let mut tail = String::new();
     loop {
--- a/tests/intake.rs
+++ b/tests/intake.rs
@@ -77,14 +77,14 @@
     insta::assert_snapshot!("half_body", answer);
 
     let whole = String::from_utf8(half).unwrap().replace("connection: close\r\n", "");
-    let mut caller = open(site.routers[0].callers(), whole.as_bytes()).await;
+    let mut caller = open(site.routers[0].caller_address(), whole.as_bytes()).await;
     until(&mut caller, "completion_tokens").await;
     caller.write_all(&whole.as_bytes()[..40]).await.unwrap();
     let begun = tokio::time::Instant::now();
     assert_eq!(caller.read(&mut [0; 10]).await.unwrap_or(0), 0);
     // The limit of a head, far below the 75 s of an idle connection.
     assert!(begun.elapsed() < Duration::from_secs(10), "{:?}", begun.elapsed());
-    assert_eq!(site.routers[0].held(), 0);
+    assert_eq!(site.routers[0].open_requests(), 0);
 }
 
 /// An idle connection stays open between two requests, for as long as balancers expect, and is
@@ -94,7 +94,7 @@
     let site = Site::tuned(1, 1, PACE, LIMITS).await;
     let call =
         String::from_utf8(post(CHAT, "", WHOLE)).unwrap().replace("connection: close\r\n", "");
-    let mut caller = open(site.routers[0].callers(), call.as_bytes()).await;
+    let mut caller = open(site.routers[0].caller_address(), call.as_bytes()).await;
     until(&mut caller, "completion_tokens").await;
     tokio::time::sleep(Duration::from_secs(60)).await;
     caller.write_all(call.as_bytes()).await.unwrap();
@@ -109,7 +109,7 @@
 #[actix_rt::test]
 async fn errors_on_one_connection_too_many() {
     let site = Site::tuned(1, 1, PACE, LIMITS).await;
-    let address = site.routers[0].callers();
+    let address = site.routers[0].caller_address();
     let mut held = vec![];
     for _ in 0..8 {
         held.push(open(address, b"").await);
@@ -153,7 +153,7 @@
     let streamed = r#"{"model":"small","max_tokens":20,"stream":true}"#;
     let call = post(CHAT, "", streamed);
     let call = String::from_utf8(call).unwrap().replace("connection: close\r\n", "");
-    let caller = open(site.routers[0].callers(), call.as_bytes()).await;
+    let caller = open(site.routers[0].caller_address(), call.as_bytes()).await;
     assert!(eventually(|| site.engines[0].tokens() > 0).await);
     let (mut reader, mut writer) = caller.into_split();
     let flood = call.repeat(200_000);
@@ -169,5 +169,5 @@
     assert!(!sent.is_finished(), "the router took the whole flood in");
     sent.abort();
     drop(reader);
-    assert!(eventually(|| site.routers[0].held() == 0).await);
+    assert!(eventually(|| site.routers[0].open_requests() == 0).await);
 }
--- a/tests/keyed.rs
+++ b/tests/keyed.rs
@@ -59,7 +59,7 @@
         let vm = |index: &usize| Vm {
             name: format!("entry-{index}"),
             role: Role::Entry,
-            address: self.routers[*index].peers().to_string(),
+            address: self.routers[*index].peer_address().to_string(),
             domain: "riga-a".to_string(),
             leaving: false,
         };
@@ -79,14 +79,14 @@
     async fn charge(&self, router: usize, key: &str) -> Told {
         let headers = format!("x-class: charge\r\nidempotency-key: {key}\r\n");
         let call = post("/desk/charge", &headers, r#"{"seat":4}"#);
-        Told(session(self.routers[router].callers(), &call).await)
+        Told(session(self.routers[router].caller_address(), &call).await)
     }
 
     /// Name of the home of a key, as the published list has it.
     fn owner(&self, key: &str) -> String {
         let members = self.routers.iter().enumerate().map(|(index, router)| Member {
             name: format!("entry-{index}"),
-            address: router.peers().to_string(),
+            address: router.peer_address().to_string(),
         });
         let members: Vec<_> = members.collect();
         let second = Duration::from_secs(1);
@@ -312,7 +312,7 @@
         (frame(secret, "/handover", "garbage"), "400"),
     ];
     for (bytes, status) in table {
-        let answer = session(fleet.routers[0].peers(), bytes.as_bytes()).await;
+        let answer = session(fleet.routers[0].peer_address(), bytes.as_bytes()).await;
         assert!(answer.starts_with(&format!("HTTP/1.1 {status}")), "{bytes}: {answer}");
     }
     assert_eq!(fleet.desk.total(), 0);
@@ -352,7 +352,7 @@
     let key = key.expect("some key has its home there");
     let headers = format!("x-class: charge\r\nidempotency-key: {key}\r\n");
     let call = post("/desk/charge", &headers, "{}");
-    let caller = actix_rt::spawn(session_of(fleet.routers[0].callers(), call));
+    let caller = actix_rt::spawn(session_of(fleet.routers[0].caller_address(), call));
     tokio::time::sleep(Duration::from_secs(1)).await;
     assert_eq!(fleet.runs(&key), 1);
     drop(fleet.routers.pop());
@@ -391,7 +391,7 @@
         let key = key.expect("some key has its home there");
         let headers = format!("x-class: charge\r\nidempotency-key: {key}\r\n");
         let call = post("/desk/charge", &headers, "{}");
-        let answer = session(fleet.routers[0].callers(), &call).await;
+        let answer = session(fleet.routers[0].caller_address(), &call).await;
         assert_eq!(answer.matches("event: error").count(), 1, "{home}: {answer}");
         assert_eq!(answer.matches("w0 ").count(), 1, "{home}: {answer}");
         assert!(!answer.ends_with("\n0\n\n"), "{home}: {answer}");
--- a/tests/operators.rs
+++ b/tests/operators.rs
@@ -17,15 +17,15 @@
     let site = Site::start(1, 1).await;
     let router = &site.routers[0];
     for path in ["/status", "/metrics", "/readyz", "/frame"] {
-        let answer = session(router.callers(), &post(path, "", "{}")).await;
+        let answer = session(router.caller_address(), &post(path, "", "{}")).await;
         assert!(answer.starts_with("HTTP/1.1 404"), "{path}: {answer}");
     }
     let call = post(CHAT, "", r#"{"model":"small","max_tokens":1}"#);
-    let answer = session(router.operators(), &call).await;
+    let answer = session(router.operator_address(), &call).await;
     assert!(answer.starts_with("HTTP/1.1 404"), "{answer}");
-    let answer = session(router.peers(), &call).await;
+    let answer = session(router.peer_address(), &call).await;
     assert!(answer.starts_with("HTTP/1.1 403"), "{answer}");
-    assert!(get(router.peers(), "/status").await.starts_with("HTTP/1.1 403"));
+    assert!(get(router.peer_address(), "/status").await.starts_with("HTTP/1.1 403"));
     assert_eq!(site.engines[0].total(), 0);
 }
 
@@ -39,11 +39,11 @@
     let call = post(CHAT, "", r#"{"model":"small","max_tokens":3,"stream":true}"#);
     let mut callers = vec![];
     for _ in 0..6 {
-        callers.push(open(router.callers(), &call).await);
+        callers.push(open(router.caller_address(), &call).await);
     }
-    assert!(eventually(|| router.held() == 6).await);
+    assert!(eventually(|| router.open_requests() == 6).await);
     tokio::time::sleep(std::time::Duration::from_secs(1)).await;
-    let answer = get(router.operators(), "/status").await;
+    let answer = get(router.operator_address(), "/status").await;
     let status: serde_json::Value = serde_json::from_str(body(&answer)).unwrap();
     let named = |list: &str, name: &str| {
         let all = status[list].as_array().unwrap();
@@ -58,7 +58,7 @@
     assert!(named("servers", "desk")["unused"].is_null(), "{status}");
     assert_eq!(status["revision"], 1);
     assert_eq!(status["digest"].as_str().unwrap().len(), 16);
-    let metrics = get(router.operators(), "/metrics").await;
+    let metrics = get(router.operator_address(), "/metrics").await;
     assert!(metrics.contains("godwitlever_work{class=\"booking\",state=\"waiting\"} 2"));
 }
 
@@ -69,13 +69,13 @@
     let site = Site::start(1, 2).await;
     let router = &site.routers[0];
     let call = post(CHAT, "", r#"{"model":"small","max_tokens":100,"stream":true}"#);
-    let mut caller = open(router.callers(), &call).await;
+    let mut caller = open(router.caller_address(), &call).await;
     common::until(&mut caller, "w1").await;
     drop(caller);
     site.session(&post(CHAT, "", r#"{"model":"small","max_tokens":1}"#)).await;
     site.session(&post(CHAT, "", r#"{"model":"my own words"}"#)).await;
-    assert!(eventually(|| router.held() == 0).await);
-    let metrics = get(router.operators(), "/metrics").await;
+    assert!(eventually(|| router.open_requests() == 0).await);
+    let metrics = get(router.operator_address(), "/metrics").await;
     let has = |line: &str| assert!(metrics.contains(line), "{line} isn't in\n{metrics}");
     has("godwitlever_requests_total{class=\"booking\",outcome=\"complete\"} 1");
     has("godwitlever_requests_total{class=\"booking\",outcome=\"caller-gone\"} 1");
--- a/tests/orders.rs
+++ b/tests/orders.rs
@@ -68,7 +68,7 @@
     async fn call(&self, seconds: usize) -> usize {
         let mut calls = vec![];
         for index in 0..seconds * 4 {
-            let address = self.routers[index % ROUTERS].callers();
+            let address = self.routers[index % ROUTERS].caller_address();
             calls.push(actix_rt::spawn(async move {
                 // Prompts that share no head, so that no engine is liked better for its cache.
                 let prompt = format!(r#"{{"role":"user","content":"{index} bookings"}}"#);
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -78,7 +78,7 @@
     site.platform.set_down(true);
     tokio::time::sleep(Duration::from_secs(3600)).await;
     assert_held(&site.routers, 1);
-    assert!(site.routers.iter().all(Router::ready));
+    assert!(site.routers.iter().all(Router::is_ready));
     site.platform.set_down(false);
     publish(&site, 2);
     wait_for(&site.routers, 2, 2 * IN_FORCE).await;
@@ -108,7 +108,7 @@
     platform.set_down(true);
     let router = Router::start(node(0, &platform)).await.unwrap();
     tokio::time::sleep(READ).await;
-    assert!(!router.ready());
+    assert!(!router.is_ready());
     platform.publish(1, &[("tree", "[tier.top]\nrank = 0")]);
     platform.set_down(false);
     wait_for(&[router], 1, IN_FORCE).await;
@@ -134,7 +134,7 @@
         }
         site.routers.push(Router::start(node(3, &site.platform)).await.unwrap());
         let fresh = &site.routers[3..];
-        while !fresh[0].ready() {
+        while !fresh[0].is_ready() {
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
         assert_held(fresh, 2);
@@ -196,19 +196,19 @@
     assert_held(&site.routers, 1);
     let mut reported = 0;
     for router in &site.routers {
-        let status = operators(router.operators(), "/status").await;
+        let status = operators(router.operator_address(), "/status").await;
         reported += usize::from(
             status.contains("extra.toml:2: class.extra.tier: no [tier.bluk] exists")
                 && status.contains("extra.toml:3: class.extra.first_token: 870 isn't allowed")
                 && status.contains("\"refused_revision\":2"),
         );
-        let metrics = operators(router.operators(), "/metrics").await;
+        let metrics = operators(router.operator_address(), "/metrics").await;
         assert!(metrics.contains("godwitlever_settings_revision 1"));
     }
     assert!(reported >= 2, "both watchers tell of the refusal");
     publish(&site, 3);
     wait_for(&site.routers, 3, IN_FORCE).await;
-    let status = operators(site.routers[0].operators(), "/status").await;
+    let status = operators(site.routers[0].operator_address(), "/status").await;
     assert!(status.contains("\"refused\":null"), "{status}");
 }
 
@@ -225,13 +225,13 @@
     assert_held(&site.routers, 2);
     let mut alarms = 0;
     for router in &site.routers {
-        let status = operators(router.operators(), "/status").await;
+        let status = operators(router.operator_address(), "/status").await;
         alarms += usize::from(status.contains("\"conflict\":2"));
     }
     assert!(alarms >= 1, "a direct read shows the other content");
     publish(&site, 3);
     wait_for(&site.routers, 3, IN_FORCE).await;
-    let metrics = operators(site.routers[0].operators(), "/metrics").await;
+    let metrics = operators(site.routers[0].operator_address(), "/metrics").await;
     assert!(metrics.contains("godwitlever_settings_conflict 0"), "{metrics}");
 }
 
@@ -270,7 +270,7 @@
     publish(&site, 2);
     tokio::time::advance(Duration::from_secs(600)).await;
     wait_for(&site.routers, 2, IN_FORCE).await;
-    let metrics = operators(site.routers[0].operators(), "/metrics").await;
+    let metrics = operators(site.routers[0].operator_address(), "/metrics").await;
     assert!(metrics.contains("godwitlever_settings_total{event=\"woken\"} 1"), "{metrics}");
 }
 
@@ -343,7 +343,7 @@
         assert_held(&site.routers, 1);
         publish(&site, 2);
         wait_for(&site.routers, 2, READ).await;
-        let answer = session(site.routers[0].callers(), &post("/v1/models", "", "")).await;
+        let answer = session(site.routers[0].caller_address(), &post("/v1/models", "", "")).await;
         assert!(answer.contains("\"id\":\"small\""), "{lie}: {answer}");
     }
 }
@@ -351,7 +351,7 @@
 /// Calls under way while settings change: the one in flight, then those that wait.
 async fn under_way(site: &Site, count: usize) -> Vec<actix_rt::task::JoinHandle<String>> {
     let body = r#"{"model":"small","max_tokens":200,"messages":[]}"#;
-    let callers = site.routers[0].callers();
+    let callers = site.routers[0].caller_address();
     let call = post("/v1/chat/completions", "x-class: draft\r\n", body);
     let mut calls = vec![];
     for _ in 0..count {
--- a/tests/shutdown.rs
+++ b/tests/shutdown.rs
@@ -37,7 +37,7 @@
 async fn can_drain_under_load() {
     let site = Site::tuned(1, 1, SLOW, LIMITS).await;
     let router = &site.routers[0];
-    let address = router.callers();
+    let address = router.caller_address();
     site.desk.set_pace(Duration::from_secs(20));
     let charge = open(address, &post("/desk/charge", "x-class: charge\r\n", "{}")).await;
     assert!(eventually(|| site.desk.total() == 1).await);
@@ -53,8 +53,8 @@
     let draining = router.drain();
     let calls = async {
         tokio::time::sleep(Duration::from_millis(1)).await;
-        assert!(get(router.operators(), "/readyz").await.starts_with("HTTP/1.1 503"));
-        assert!(get(router.operators(), "/healthz").await.starts_with("HTTP/1.1 200"));
+        assert!(get(router.operator_address(), "/readyz").await.starts_with("HTTP/1.1 503"));
+        assert!(get(router.operator_address(), "/healthz").await.starts_with("HTTP/1.1 200"));
         tokio::time::sleep(Duration::from_millis(1_500)).await;
         let late = open(address, &kept(WHOLE)).await;
         // Answered before the listener closes, so that its caller moves to another node.
@@ -83,7 +83,7 @@
     let limits = format!("{LIMITS}idle_stream = \"10min\"\n");
     let site = Site::tuned(1, 1, pace, &limits).await;
     let body = r#"{"model":"small","max_tokens":50000}"#;
-    let caller = open(site.routers[0].callers(), &kept(body)).await;
+    let caller = open(site.routers[0].caller_address(), &kept(body)).await;
     assert!(eventually(|| site.engines[0].tokens() == 50_000).await);
     let reading = async {
         tokio::time::sleep(Duration::from_secs(8)).await;
@@ -100,7 +100,7 @@
 async fn errors_on_what_outlasts_the_grace() {
     let limits = "[deployment]\nbalancer = \"100ms\"\ngrace = \"2s\"\n";
     let site = Site::tuned(1, 1, SLOW, limits).await;
-    let mut caller = open(site.routers[0].callers(), &kept(STREAMED)).await;
+    let mut caller = open(site.routers[0].caller_address(), &kept(STREAMED)).await;
     let head = until(&mut caller, "w0").await;
     let cut = site.routers[0].drain().await;
     assert_eq!(cut.len(), 1);
@@ -116,11 +116,11 @@
 async fn can_end_a_drain_early() {
     let site = Site::tuned(1, 1, SLOW, LIMITS).await;
     let router = &site.routers[0];
-    let mut caller = open(router.callers(), &kept(STREAMED)).await;
+    let mut caller = open(router.caller_address(), &kept(STREAMED)).await;
     until(&mut caller, "w0").await;
     let cut = tokio::select! {
         cut = router.drain() => cut,
-        () = tokio::time::sleep(Duration::from_millis(100)) => router.cut(),
+        () = tokio::time::sleep(Duration::from_millis(100)) => router.abort(),
     };
     assert_eq!(cut.len(), 1);
     assert!(!rest(caller).await.contains("[DONE]"));
@@ -130,7 +130,7 @@
 #[actix_rt::test]
 async fn can_drain_at_once_when_idle() {
     let site = Site::tuned(1, 1, PACE, LIMITS).await;
-    let mut idle = open(site.routers[0].callers(), &kept(WHOLE)).await;
+    let mut idle = open(site.routers[0].caller_address(), &kept(WHOLE)).await;
     until(&mut idle, "completion_tokens").await;
     let begun = tokio::time::Instant::now();
     assert_eq!(site.routers[0].drain().await, vec![]);
--- a/tests/workspaces.rs
+++ b/tests/workspaces.rs
@@ -46,7 +46,7 @@
     let mut calls = vec![];
     let most = Rc::new(Cell::new(0));
     for index in 0..seconds * 50 {
-        let address = site.routers[index % routers].callers();
+        let address = site.routers[index % routers].caller_address();
         calls.push(actix_rt::spawn(async move {
             let body = r#"{"model":"small","max_tokens":20,"messages":[]}"#;
             let answer = session(address, &post("/v1/chat/completions", "", body)).await;
