--- a/components/router/src/answer.rs
+++ b/components/router/src/answer.rs
@@ -103,7 +103,7 @@
             Error::UnknownModel(_) => "model",
             Error::Deadline(_) => "deadline",
             Error::NoSettings => "no-settings",
-            Error::Refused(word, _) => word,
+            Error::Refused(text, _) => text,
             Error::UndatedKey => "undated-key",
             Error::NoOwner => "no-home",
             Error::Running => "running",
--- a/components/router/src/callers.rs
+++ b/components/router/src/callers.rs
@@ -71,19 +71,20 @@
 ) -> Result<Admitted, Error> {
     let settings = settings.ok_or(Error::NoSettings)?;
     request::check_head(&request, &settings.limits)?;
-    let (workspace_key, workspace) = workspace(settings, &request)?;
+    let (workspace_key, workspace) = authenticate(settings, &request)?;
     if request.path() == MODELS_PATH {
-        return Ok(Admitted::Models(models(settings, workspace)));
+        return Ok(Admitted::Models(model_list(settings, workspace)));
     }
-    let target = target(settings, request.path())?;
+    let target = find_target(settings, request.path())?;
     if request.method() != Method::POST {
         return Err(Error::Method(request.method().to_string()));
     }
-    let class_key = class(settings, workspace, &request)?;
+    let class_key = find_class(settings, workspace, &request)?;
     let class = &settings.classes[class_key];
-    let key = key(&request, class.idempotent)?;
+    let key = idempotency_key(&request, class.idempotent)?;
     let arrived = state.clock.now();
-    let time_limit = deadline(&request)?.map_or(class.deadline, |asked| asked.min(class.deadline));
+    let time_limit =
+        requested_deadline(&request)?.map_or(class.deadline, |asked| asked.min(class.deadline));
     let media = header(&request, "content-type").unwrap_or("application/json").to_string();
     let path = request.uri().path_and_query().map_or(request.path(), |path| path.as_str());
     let path = path.to_string();
@@ -98,7 +99,7 @@
         }
     };
     Ok(Admitted::Job(Box::new(Job {
-        life: received.admit(),
+        lifecycle: received.admit(),
         payload: Payload {
             class: class.clone(),
             workspace: workspace.name.clone(),
@@ -144,7 +145,7 @@
     Plain(ids::Model),
 }
 
-fn target(settings: &Effective, path: &str) -> Result<Target, Error> {
+fn find_target(settings: &Effective, path: &str) -> Result<Target, Error> {
     if path == CHAT_PATH || path == TEXT_PATH {
         return Ok(Target::Completion);
     }
@@ -171,7 +172,7 @@
     request.headers().get(name)?.to_str().ok()
 }
 
-fn workspace<'a>(
+fn authenticate<'a>(
     settings: &'a Effective,
     request: &Request,
 ) -> Result<(ids::Workspace, &'a Workspace), Error> {
@@ -182,7 +183,7 @@
     Ok((name, workspace))
 }
 
-fn class(
+fn find_class(
     settings: &Effective,
     workspace: &Workspace,
     request: &Request,
@@ -194,7 +195,7 @@
 
 /// The idempotency key, if it has an issue time. Without one a new key can't be distinguished from one
 /// that ran long ago, so that calls that must not run twice are rejected with such a key.
-fn key(request: &Request, idempotent: bool) -> Result<Option<ids::Request>, Error> {
+fn idempotency_key(request: &Request, idempotent: bool) -> Result<Option<ids::Request>, Error> {
     if !request.headers().contains_key(KEY) {
         return Ok(None);
     }
@@ -206,7 +207,7 @@
     Ok(dated)
 }
 
-fn deadline(request: &Request) -> Result<Option<Duration>, Error> {
+fn requested_deadline(request: &Request) -> Result<Option<Duration>, Error> {
     let Some(text) = header(request, DEADLINE_HEADER) else { return Ok(None) };
     match text.parse::<u64>() {
         Ok(ms) if ms > 0 => Ok(Some(Duration::from_millis(ms))),
@@ -214,7 +215,7 @@
     }
 }
 
-fn models(settings: &Effective, workspace: &Workspace) -> serde_json::Value {
+fn model_list(settings: &Effective, workspace: &Workspace) -> serde_json::Value {
     let is_allowed =
         |key: &ids::Server| workspace.servers.is_empty() || workspace.servers.contains(key);
     let engines =
--- a/components/router/src/cells.rs
+++ b/components/router/src/cells.rs
@@ -62,7 +62,7 @@
     let mut server_hash = state.cells.borrow().server_hash;
     if server_hash.0 != settings.revision {
         let models: Vec<_> = settings.servers.values().map(|server| &server.models).collect();
-        server_hash = (settings.revision, hash(&(members(&settings), models)));
+        server_hash = (settings.revision, hash(&(server_members(&settings), models)));
         state.cells.borrow_mut().server_hash = server_hash;
     }
     let input_hash = hash(&(server_hash.1, &nodes));
@@ -98,11 +98,11 @@
     let nodes: Vec<_> =
         nodes.iter().map(|(key, domain)| Member { key: *key, domain: *domain, group: 0 }).collect();
     let size = Size { nodes: settings.limits.cell_nodes, servers: settings.limits.cell_servers };
-    divide(&nodes, &members(settings), size)
+    divide(&nodes, &server_members(settings), size)
 }
 
 /// The servers with their failure domains and the groups that are distributed evenly over the cells.
-fn members(settings: &Effective) -> Vec<Member> {
+fn server_members(settings: &Effective) -> Vec<Member> {
     let member = |server: &std::rc::Rc<settings::Server>| Member {
         key: wire::key(&server.name),
         domain: wire::key(settings.domain_names.name(server.domain)),
--- a/components/router/src/engines.rs
+++ b/components/router/src/engines.rs
@@ -12,7 +12,7 @@
 use crate::peers::FRAMES_PERCENT;
 use crate::state::State;
 
-/// Pause between two checks which engines are due.
+/// Pause between two checks of which engines are due for a poll.
 const CHECK_INTERVAL: Duration = Duration::from_millis(500);
 /// Time for an engine to answer.
 const POLL_TIMEOUT: Duration = Duration::from_millis(500);
--- a/components/router/src/keyed.rs
+++ b/components/router/src/keyed.rs
@@ -46,7 +46,7 @@
     match owner {
         _ if is_self => serve_as_owner(state, job, key, open).await,
         Some(owner) => forward_to_owner(state, job, key, owner, open).await,
-        None => refuse(&state, &job.payload, job.life, Error::NoOwner),
+        None => refuse(&state, &job.payload, job.lifecycle, Error::NoOwner),
     }
 }
 
@@ -58,7 +58,7 @@
     open: OpenRequest,
 ) -> Answer {
     let name = CallKey { workspace: job.payload.workspace.clone(), key };
-    let id = job.life.id();
+    let id = job.lifecycle.id();
     match Claim::acquire(&state, name) {
         Ok(claim) => {
             job.payload.claim = Some(claim);
@@ -82,9 +82,9 @@
             refuse_duplicate(&state, id, &job, Error::MayHaveRun)
         }
         Err(idempotency::Decision::Undated) => {
-            refuse(&state, &job.payload, job.life, Error::UndatedKey)
+            refuse(&state, &job.payload, job.lifecycle, Error::UndatedKey)
         }
-        Err(_) => refuse(&state, &job.payload, job.life, Error::NoOwner),
+        Err(_) => refuse(&state, &job.payload, job.lifecycle, Error::NoOwner),
     }
 }
 
@@ -103,11 +103,11 @@
 fn refuse(
     state: &State,
     payload: &Payload,
-    life: lifecycle::Request<Admitted>,
+    lifecycle: lifecycle::Request<Admitted>,
     error: Error,
 ) -> Answer {
-    let id = life.id();
-    let outcome = life.not_run(Reason::NoServer);
+    let id = lifecycle.id();
+    let outcome = lifecycle.not_run(Reason::NoServer);
     relay::record_outcome(state, id, &payload.class.name, outcome);
     state.metrics.refusal(error.as_str());
     answer::error(id, outcome, &error, error.retry_after())
@@ -141,16 +141,16 @@
     owner: Member,
     open: OpenRequest,
 ) -> Answer {
-    let Job { life, payload } = job;
-    let id = life.id();
+    let Job { lifecycle, payload } = job;
+    let id = lifecycle.id();
     let time_left = payload.request.deadline.saturating_duration_since(state.clock.now());
     let call = owner_call(&state, &payload, id, key, &owner, time_left);
     let Some(settings) = state.settings() else {
-        return refuse(&state, &payload, life, Error::NoSettings);
+        return refuse(&state, &payload, lifecycle, Error::NoSettings);
     };
     let limits = &settings.limits;
     let client = Client::new(limits.connect, time_left + limits.idle_stream + OWNER_GRACE);
-    let sending = Waiting::Queued(life.queue()).send();
+    let sending = Waiting::Queued(lifecycle.queue()).send();
     let failure = match client.call(&call).await {
         Ok(Reply::Whole(whole)) => return whole_answer(&state, &payload, sending, whole),
         Ok(Reply::Stream(source)) => return stream_answer(&state, &payload, sending, source, open),
@@ -231,8 +231,9 @@
 ) -> Answer {
     let id = sending.id();
     let (state, class) = (state.clone(), payload.class.name.clone());
-    let life = Some(sending.stream());
-    let relay = OwnerStream { state, class, source, life, event_sent: false, abort: false, open };
+    let lifecycle = Some(sending.stream());
+    let relay =
+        OwnerStream { state, class, source, lifecycle, event_sent: false, abort: false, open };
     let mut response = Response::build(StatusCode::OK);
     response.insert_header(("content-type", "text/event-stream"));
     response.insert_header(("cache-control", "no-cache"));
@@ -250,7 +251,7 @@
     state: Rc<State>,
     class: String,
     source: Box<engine::Stream>,
-    life: Option<lifecycle::Request<lifecycle::Streaming>>,
+    lifecycle: Option<lifecycle::Request<lifecycle::Streaming>>,
     /// The owner's last event was the error event that ends a truncated stream.
     event_sent: bool,
     /// The connection to the caller must be closed next.
@@ -266,21 +267,21 @@
             tokio::time::sleep(relay_stream::FLUSH_DELAY).await;
             return Some(Err(io::Error::other("the answer broke off")));
         }
-        let life = self.life.take()?;
-        let id = life.id();
+        let lifecycle = self.lifecycle.take()?;
+        let id = lifecycle.id();
         match self.source.next().await {
             Ok(Some(Piece { bytes, .. })) => {
                 self.event_sent = bytes.starts_with(relay_stream::ERROR_EVENT.as_bytes());
-                self.life = Some(life);
+                self.lifecycle = Some(lifecycle);
                 Some(Ok(bytes))
             }
             Ok(None) => {
-                relay::record_outcome(&self.state, id, &self.class, life.complete());
+                relay::record_outcome(&self.state, id, &self.class, lifecycle.complete());
                 None
             }
             Err(cause) => {
                 log::warn!(request:% = id, cause:% = cause; "stream from the owner of the key ended early");
-                relay::record_outcome(&self.state, id, &self.class, life.truncated());
+                relay::record_outcome(&self.state, id, &self.class, lifecycle.truncated());
                 self.abort = true;
                 let event =
                     if self.event_sent { Bytes::new() } else { relay_stream::truncated_event(id) };
@@ -295,7 +296,7 @@
 pub(crate) async fn handle(state: Rc<State>, request: Request) -> Answer {
     let mut answer = match read_call(&state, request).await {
         Some((job, key)) => {
-            let open = state.open_request(job.life.id());
+            let open = state.open_request(job.lifecycle.id());
             serve_as_owner(state, job, key, open).await
         }
         None => Response::new(StatusCode::BAD_REQUEST).map_into_boxed_body(),
@@ -347,7 +348,7 @@
         region: settings.region_names.key(&state.node.region).unwrap_or_default(),
     };
     Some(Job {
-        life: lifecycle::Request::new(id).admit(),
+        lifecycle: lifecycle::Request::new(id).admit(),
         payload: Payload {
             class,
             workspace: keyed.workspace,
--- a/components/router/src/operators.rs
+++ b/components/router/src/operators.rs
@@ -19,20 +19,22 @@
 /// Answers one operator's request.
 pub(crate) async fn handle(state: Rc<State>, request: Request) -> Answer {
     match request.path() {
-        "/healthz" => text(StatusCode::OK, "alive\n"),
-        "/readyz" if state.is_ready() => text(StatusCode::OK, "ready\n"),
-        "/readyz" => text(StatusCode::SERVICE_UNAVAILABLE, "no settings yet, or draining\n"),
-        "/metrics" => text(StatusCode::OK, metrics(&state)),
-        "/status" => answer::json(StatusCode::OK, &status(&state)),
-        _ => text(StatusCode::NOT_FOUND, "see /healthz, /readyz, /metrics and /status\n"),
+        "/healthz" => text_response(StatusCode::OK, "alive\n"),
+        "/readyz" if state.is_ready() => text_response(StatusCode::OK, "ready\n"),
+        "/readyz" => {
+            text_response(StatusCode::SERVICE_UNAVAILABLE, "no settings yet, or draining\n")
+        }
+        "/metrics" => text_response(StatusCode::OK, render_metrics(&state)),
+        "/status" => answer::json(StatusCode::OK, &build_status(&state)),
+        _ => text_response(StatusCode::NOT_FOUND, "see /healthz, /readyz, /metrics and /status\n"),
     }
 }
 
-fn text(status: StatusCode, body: impl Into<String>) -> Answer {
+fn text_response(status: StatusCode, body: impl Into<String>) -> Answer {
     Response::build(status).body(body.into()).map_into_boxed_body()
 }
 
-fn metrics(state: &State) -> String {
+fn render_metrics(state: &State) -> String {
     let now = state.clock.now();
     let view = state.view.borrow();
     let is_recent = |at: Instant| now.saturating_duration_since(at) < PEER_TIMEOUT;
@@ -49,7 +51,7 @@
     state.metrics.render()
 }
 
-fn status(state: &State) -> serde_json::Value {
+fn build_status(state: &State) -> serde_json::Value {
     let now = state.clock.now();
     let settings = state.settings();
     let scheduler = state.driver.scheduler.borrow();
--- a/components/router/src/orders.rs
+++ b/components/router/src/orders.rs
@@ -80,8 +80,10 @@
     let ordered = ordered_engines(state, settings);
     last_reads.retain(|name, _| ordered.contains_key(name));
     read_contents(state, settings, client, &ordered, last_reads).await;
-    let engines: Vec<_> =
-        ordered.iter().map(|(name, server)| engine(*name, server, settings, last_reads)).collect();
+    let engines: Vec<_> = ordered
+        .iter()
+        .map(|(name, server)| engine_state(*name, server, settings, last_reads))
+        .collect();
     let now = state.clock.now();
     let limits = cell_limits(state, settings);
     let issuer = issuer.get_or_insert_with(|| Issuer::new(limits, now));
@@ -121,7 +123,7 @@
     for (name, server) in ordered {
         let now = state.clock.now();
         let satisfied = {
-            let engine = engine(*name, server, settings, last_reads);
+            let engine = engine_state(*name, server, settings, last_reads);
             engine.shown.is_some_and(|shown| shown.satisfies(&engine.wanted))
         };
         let period = if satisfied { SATISFIED_READ_INTERVAL } else { PENDING_READ_INTERVAL };
@@ -139,7 +141,7 @@
     }
 }
 
-fn engine(
+fn engine_state(
     name: u32,
     server: &Server,
     settings: &Effective,
--- a/components/router/src/relay.rs
+++ b/components/router/src/relay.rs
@@ -20,7 +20,7 @@
 use crate::stream::{self, Relay};
 use crate::submission::{Refused, Submission};
 
-/// Bytes at the reply of a body by which prompts that share a cached prefix are recognized.
+/// Bytes at the start of a body by which prompts that share a cached prefix are recognized.
 const PREFIX_BYTES: usize = 1024;
 /// Average bytes of text for one token; the estimate is corrected as the tokens of responses are
 /// counted.
@@ -28,7 +28,7 @@
 
 /// An admitted request.
 pub(crate) struct Job {
-    pub(crate) life: lifecycle::Request<lifecycle::Admitted>,
+    pub(crate) lifecycle: lifecycle::Request<lifecycle::Admitted>,
     pub(crate) payload: Payload,
 }
 
@@ -81,7 +81,7 @@
     }
 }
 
-/// Hash of the reply of a body, by which prompts that share a cached prefix are recognized.
+/// Hash of the start of a body, by which prompts that share a cached prefix are recognized.
 pub(crate) fn prefix_hash(body: &[u8]) -> u64 {
     xxh3_64(&body[..body.len().min(PREFIX_BYTES)])
 }
@@ -160,9 +160,9 @@
 /// Serves an admitted request. A request that must not run twice goes on when its caller disconnects,
 /// but only once it may have been sent; before that it is dropped, because it would run for nobody.
 pub(crate) async fn serve(state: Rc<State>, job: Job, open: OpenRequest) -> Answer {
-    let Job { life, payload } = job;
-    let id = life.id();
-    let waiting = Waiting::Queued(life.queue());
+    let Job { lifecycle, payload } = job;
+    let id = lifecycle.id();
+    let waiting = Waiting::Queued(lifecycle.queue());
     let mut submission = Submission::new(&state, &payload);
     let mut queued = QueuedPayload(Some(payload));
     let selected = submission.wait_for_server().await;
@@ -191,7 +191,7 @@
     open: OpenRequest,
 ) -> Answer {
     loop {
-        if let Some(refused) = deadline_passed(&state, &payload) {
+        if let Some(refused) = late_refusal(&state, &payload) {
             submission.end_attempt(Ending::NotRun);
             return refuse(&state, &payload, waiting, refused);
         }
@@ -219,7 +219,7 @@
     }
 }
 
-/// Makes an attempt, and a second one at the same server if the first failed and the server itself runs
+/// Makes an attempt, and a second one at the same server if the first may have run and the server itself runs
 /// each key at most once.
 async fn attempt_with_repeat(
     submission: &mut Submission,
@@ -228,7 +228,7 @@
     server: &Server,
 ) -> (Sending, Result<ReadyReply, AttemptError>) {
     let call = payload.call(sending.id(), sending.attempt(), server);
-    let error = match attempt(submission, payload, &call).await {
+    let error = match make_attempt(submission, payload, &call).await {
         Ok(reply) => return (sending, Ok(reply)),
         Err(error) => error,
     };
@@ -242,7 +242,7 @@
         Err(_) => unreachable!("a proof was given"),
     };
     let call = payload.call(sending.id(), sending.attempt(), server);
-    let ended = attempt(submission, payload, &call).await;
+    let ended = make_attempt(submission, payload, &call).await;
     if let Err(error) = &ended {
         error.record(submission, call.id, call.attempt);
     }
@@ -251,7 +251,7 @@
 
 /// The refusal of a request whose deadline passed after the scheduler selected a server, which happens
 /// if the process was paused in between.
-fn deadline_passed(state: &State, payload: &Payload) -> Option<Refused> {
+fn late_refusal(state: &State, payload: &Payload) -> Option<Refused> {
     let late = state.clock.now() >= payload.request.deadline;
     late.then_some(Refused { refusal: Refusal::Late, ..Refused::NO_SERVER })
 }
@@ -276,7 +276,7 @@
 }
 
 /// Makes one attempt. The attempt of a request that must not run twice is never stopped.
-async fn attempt(
+async fn make_attempt(
     submission: &mut Submission,
     payload: &Payload,
     call: &Call,
--- a/components/router/src/revisions.rs
+++ b/components/router/src/revisions.rs
@@ -1,9 +1,9 @@
 //! Keeps track of the revisions of the settings: the one in force, the sources that newer ones are read
 //! from, and what is served to peers.
 
+mod apply;
 mod follow;
 mod serve;
-mod take;
 
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, VecDeque};
@@ -67,12 +67,12 @@
     /// Records that a revision is in force; returns whether it is newer than all before. One that isn't
     /// changes nothing.
     pub(crate) fn record_in_force(&self, effective: &Effective) -> bool {
-        let shown = Shown { revision: effective.revision, digest: effective.digest };
-        if !self.mark.borrow_mut().hold(shown) {
+        let id = Shown { revision: effective.revision, digest: effective.digest };
+        if !self.mark.borrow_mut().hold(id) {
             return false;
         }
         let mut recent = self.recent.borrow_mut();
-        recent.push_back(PastRevision { id: shown, parts: effective.parts.clone() });
+        recent.push_back(PastRevision { id, parts: effective.parts.clone() });
         if recent.len() > MAX_PAST_REVISIONS {
             recent.pop_front();
         }
@@ -99,7 +99,7 @@
     }
 
     /// Addresses of the listed peers, those of the node's own failure domain first.
-    fn peers(&self, name: &str, domain: &str) -> Vec<SocketAddr> {
+    fn peer_addresses(&self, name: &str, domain: &str) -> Vec<SocketAddr> {
         let list = self.list.borrow();
         let mut entries: Vec<_> =
             list.iter().filter(|vm| vm.role == Role::Entry && vm.name != name).collect();
--- a/components/router/src/revisions/take.rs
+++ b/components/router/src/revisions/apply.rs
@@ -70,22 +70,22 @@
 
 /// Compares an offered revision with the one in force and records the result; returns whether to apply
 /// it.
-pub(super) fn check_offered(state: &State, shown: Shown, by: &str) -> bool {
+pub(super) fn check_offered(state: &State, offered: Shown, by: &str) -> bool {
     let revisions = &state.revisions;
-    let verdict = revisions.mark.borrow().judge(shown);
+    let verdict = revisions.mark.borrow().judge(offered);
     let events = &state.metrics.settings;
     match verdict {
         Verdict::Newer => return true,
         Verdict::Same => revisions.confirmed.set(Some(state.clock.now())),
         Verdict::Refused => {}
         Verdict::Older => events.event("stale"),
-        Verdict::Conflict if revisions.conflict.get() != Some(shown.revision) => {
-            revisions.conflict.set(Some(shown.revision));
+        Verdict::Conflict if revisions.conflict.get() != Some(offered.revision) => {
+            revisions.conflict.set(Some(offered.revision));
             events.event("conflict");
             events.conflict(true);
-            let digest = format!("{:016x}", shown.digest);
+            let digest = format!("{:016x}", offered.digest);
             log::error!(
-                revision = shown.revision, digest = digest.as_str(), by = by;
+                revision = offered.revision, digest = digest.as_str(), by = by;
                 "one revision has two contents; publish the wanted one under a higher number"
             );
         }
@@ -100,8 +100,8 @@
     source: &Source,
     manifest: &Manifest,
 ) -> Result<(), Fault> {
-    let shown = manifest_revision(manifest);
-    if !check_offered(state, shown, &source.label()) {
+    let offered = manifest_revision(manifest);
+    if !check_offered(state, offered, &source.label()) {
         return Ok(());
     }
     let current = state.settings();
@@ -120,7 +120,7 @@
     });
     let parts: Result<Vec<_>, _> =
         stream::iter(read).buffered(CONCURRENT_READS).try_collect().await;
-    compose_and_apply(state, source, shown, parts.map_err(Fault::ReadFailed)?);
+    compose_and_apply(state, source, offered, parts.map_err(Fault::ReadFailed)?);
     Ok(())
 }
 
@@ -131,14 +131,14 @@
     update: Update,
 ) -> Result<(), Fault> {
     match update {
-        Update::Manifest(shown) => apply_manifest(state, source, &shown).await,
+        Update::Manifest(offered) => apply_manifest(state, source, &offered).await,
         Update::Delta(delta) => apply_delta(state, source, delta),
     }
 }
 
 fn apply_delta(state: &Rc<State>, source: &Source, delta: Delta) -> Result<(), Fault> {
-    let shown = Shown { revision: delta.revision, digest: delta.digest };
-    if !check_offered(state, shown, &source.label()) {
+    let offered = Shown { revision: delta.revision, digest: delta.digest };
+    if !check_offered(state, offered, &source.label()) {
         return Ok(());
     }
     let Some(current) = state.settings() else { return Err(Fault::FalseClaim) };
@@ -150,27 +150,27 @@
         current.parts.iter().filter(|p| !replaced.contains(&*p.name) && !gone.contains(&*p.name));
     parts.extend(kept.cloned());
     let digest = part::whole(parts.iter().map(|part| (&*part.name, &*part.digest)));
-    if digest != shown.digest {
+    if digest != offered.digest {
         return Err(Fault::FalseClaim);
     }
-    compose_and_apply(state, source, shown, parts);
+    compose_and_apply(state, source, offered, parts);
     Ok(())
 }
 
 /// Builds the settings of a revision from its parts and puts them in force; if they are invalid, the
 /// revision is rejected and the previous one stays.
-fn compose_and_apply(state: &Rc<State>, source: &Source, shown: Shown, parts: Vec<Rc<Part>>) {
+fn compose_and_apply(state: &Rc<State>, source: &Source, offered: Shown, parts: Vec<Rc<Part>>) {
     let last = state.settings();
-    match Effective::compose(shown.revision, parts, last.as_deref()) {
+    match Effective::compose(offered.revision, parts, last.as_deref()) {
         Ok(effective) => {
             state.revisions.confirmed.set(Some(state.clock.now()));
             state.apply_settings(effective);
         }
         Err(faults) => {
-            state.revisions.mark.borrow_mut().refuse(shown);
+            state.revisions.mark.borrow_mut().refuse(offered);
             state.metrics.settings.event("refused");
             let by = source.label();
-            log::error!(revision = shown.revision, by = by.as_str(), faults:% = faults; "settings refused");
+            log::error!(revision = offered.revision, by = by.as_str(), faults:% = faults; "settings refused");
             *state.refusal.borrow_mut() = Some(faults.to_string());
         }
     }
--- a/components/router/src/revisions/follow.rs
+++ b/components/router/src/revisions/follow.rs
@@ -13,7 +13,7 @@
 use futures_util::future::join_all;
 use settings::mark::Shown;
 
-use super::take::{self, Fault, Source};
+use super::apply::{self, Fault, Source};
 use crate::peers::SECRET_HEADER;
 use crate::state::State;
 
@@ -87,7 +87,9 @@
             true
         }
         Ok(Some(manifest)) => apply_from_service(&state, service, &manifest).await,
-        Err(cause) => failed(&state, &Source::Service(service.clone()), Fault::ReadFailed(cause)),
+        Err(cause) => {
+            record_failure(&state, &Source::Service(service.clone()), Fault::ReadFailed(cause))
+        }
     }
 }
 
@@ -100,15 +102,15 @@
     // A watch answered with a revision that isn't newer was served by a stale replica of the service;
     // the caller then pauses.
     let newer = known_revision(state).revision < manifest.revision;
-    match take::apply_manifest(state, &source, manifest).await {
+    match apply::apply_manifest(state, &source, manifest).await {
         Ok(()) => newer,
-        Err(fault) => failed(state, &source, fault),
+        Err(fault) => record_failure(state, &source, fault),
     }
 }
 
 /// Records a fault; always returns false, because the source must not be read again without a pause.
-fn failed(state: &State, source: &Source, fault: Fault) -> bool {
-    take::record_fault(state, source, &fault);
+fn record_failure(state: &State, source: &Source, fault: Fault) -> bool {
+    apply::record_fault(state, source, &fault);
     false
 }
 
@@ -120,7 +122,7 @@
         if !state.revisions.is_trusted(address, state.clock.now()) {
             continue;
         }
-        let peer = peer(&state, address);
+        let peer = peer_client(&state, address);
         let theirs = known_revision(&state);
         drop(state);
         let answer = peer.watch(theirs.revision, theirs.digest).await;
@@ -129,12 +131,12 @@
             Ok(None) => return true,
             Ok(Some(update)) => {
                 let source = Source::Peer(peer);
-                return match take::apply_update(&state, &source, update).await {
+                return match apply::apply_update(&state, &source, update).await {
                     Ok(()) if known_revision(&state).revision > theirs.revision => true,
                     // The peer answered the watch with a revision that isn't newer. It would do so
                     // again at once, and both nodes would be in a busy loop.
-                    Ok(()) => failed(&state, &source, Fault::FalseClaim),
-                    Err(fault) => failed(&state, &source, fault),
+                    Ok(()) => record_failure(&state, &source, Fault::FalseClaim),
+                    Err(fault) => record_failure(&state, &source, fault),
                 };
             }
             Err(_) => {}
@@ -146,7 +148,7 @@
     false
 }
 
-fn peer(state: &State, address: SocketAddr) -> Peer {
+fn peer_client(state: &State, address: SocketAddr) -> Peer {
     Peer::new(state.peer_client.clone(), address, SECRET_HEADER, state.node.secret.clone())
 }
 
@@ -156,7 +158,7 @@
             apply_from_service(state, service, &manifest).await;
         }
         Err(cause) => {
-            failed(state, &Source::Service(service.clone()), Fault::ReadFailed(cause));
+            record_failure(state, &Source::Service(service.clone()), Fault::ReadFailed(cause));
         }
     }
 }
@@ -170,13 +172,13 @@
         state.revisions.apply_list(&list);
     }
     let now = state.clock.now();
-    let listed = state.revisions.peers(&state.node.name, &state.node.domain);
+    let listed = state.revisions.peer_addresses(&state.node.name, &state.node.domain);
     let mut peers = state.node.seeds.clone();
     peers.extend(listed.into_iter().filter(|peer| !state.node.seeds.contains(peer)));
     peers.retain(|peer| state.revisions.is_trusted(*peer, now));
     let theirs = known_revision(state);
     let reads = peers.into_iter().take(MAX_PEERS_READ).map(|address| async move {
-        let peer = peer(state, address);
+        let peer = peer_client(state, address);
         let update = peer.read(theirs.revision, theirs.digest).await.ok().flatten()?;
         Some((Source::Peer(peer), update))
     });
@@ -191,10 +193,10 @@
         Err(cause) => log::warn!(cause:% = cause; "can't read the settings"),
     }
     // The highest first; a lower one then only confirms it or reveals a conflict.
-    offered.sort_by_key(|(_, update)| std::cmp::Reverse(take::claimed_revision(update).revision));
+    offered.sort_by_key(|(_, update)| std::cmp::Reverse(apply::claimed_revision(update).revision));
     for (source, update) in offered {
-        if let Err(fault) = take::apply_update(state, &source, update).await {
-            failed(state, &source, fault);
+        if let Err(fault) = apply::apply_update(state, &source, update).await {
+            record_failure(state, &source, fault);
         }
     }
 }
@@ -241,40 +243,40 @@
         let Some(frame) = member.last_frame.as_ref().filter(|frame| frame.revision > 0) else {
             continue;
         };
-        let shown = Shown { revision: frame.revision, digest: frame.digest };
+        let offered = Shown { revision: frame.revision, digest: frame.digest };
         let Ok(address) = member.address.parse() else { continue };
-        let older = known_revision(state).revision > shown.revision;
+        let older = known_revision(state).revision > offered.revision;
         // A peer that is behind needs no action here: it catches up by itself.
         if !older
-            && take::check_offered(state, shown, name)
+            && apply::check_offered(state, offered, name)
             && state.revisions.is_trusted(address, now)
         {
-            higher.push((shown, address));
+            higher.push((offered, address));
         }
     }
-    higher.sort_by_key(|(shown, _)| std::cmp::Reverse(shown.revision));
+    higher.sort_by_key(|(offered, _)| std::cmp::Reverse(offered.revision));
     for (claimed, address) in higher.into_iter().take(MAX_PEERS_READ) {
         let theirs = known_revision(state);
         if theirs.revision >= claimed.revision {
             return;
         }
-        let peer = peer(state, address);
+        let peer = peer_client(state, address);
         let Ok(update) = peer.read(theirs.revision, theirs.digest).await else { continue };
         let source = Source::Peer(peer);
         let is_as_claimed = update
             .as_ref()
-            .is_some_and(|update| take::claimed_revision(update).revision >= claimed.revision);
+            .is_some_and(|update| apply::claimed_revision(update).revision >= claimed.revision);
         let applied = match update {
-            Some(update) => take::apply_update(state, &source, update).await,
+            Some(update) => apply::apply_update(state, &source, update).await,
             None => Ok(()),
         };
         match applied {
             Ok(()) if !is_as_claimed => {
-                failed(state, &source, Fault::FalseClaim);
+                record_failure(state, &source, Fault::FalseClaim);
             }
             Ok(()) => {}
             Err(fault) => {
-                failed(state, &source, fault);
+                record_failure(state, &source, fault);
                 state.revisions.distrust(address, now);
             }
         }
--- a/components/router/src/revisions/serve.rs
+++ b/components/router/src/revisions/serve.rs
@@ -21,10 +21,10 @@
 pub(crate) async fn handle(state: Rc<State>, request: &Request) -> Answer {
     let path = request.path();
     if let Some(digest) = path.strip_prefix(VALUE_PATH) {
-        return value(&state, digest);
+        return value_response(&state, digest);
     }
     if path != MANIFEST_PATH {
-        return empty(StatusCode::NOT_FOUND);
+        return empty_response(StatusCode::NOT_FOUND);
     }
     let query = request.uri().query().unwrap_or_default();
     let field = |name: &str| query.split('&').find_map(|pair| pair.strip_prefix(name));
@@ -42,22 +42,22 @@
             let body = serde_json::to_string(&update).expect("plain fields");
             Response::build(StatusCode::OK).body(body).map_into_boxed_body()
         }
-        None => empty(StatusCode::NOT_MODIFIED),
+        None => empty_response(StatusCode::NOT_MODIFIED),
     }
 }
 
-fn empty(status: StatusCode) -> Answer {
+fn empty_response(status: StatusCode) -> Answer {
     Response::new(status).map_into_boxed_body()
 }
 
-fn value(state: &State, digest: &str) -> Answer {
+fn value_response(state: &State, digest: &str) -> Answer {
     let recent = state.revisions.recent.borrow();
     let mut parts = recent.iter().rev().flat_map(|past| past.parts.iter());
     match parts.find(|part| part.digest == digest) {
         Some(part) => {
             Response::build(StatusCode::OK).body(part.text.to_string()).map_into_boxed_body()
         }
-        None => empty(StatusCode::NOT_FOUND),
+        None => empty_response(StatusCode::NOT_FOUND),
     }
 }
 
@@ -87,10 +87,10 @@
             gone: gone.map(|name| name.to_string()).collect(),
         })
     });
-    Some(delta.map_or_else(|| Update::Manifest(manifest(&current)), Update::Delta))
+    Some(delta.map_or_else(|| Update::Manifest(build_manifest(&current)), Update::Delta))
 }
 
-fn manifest(current: &settings::Effective) -> Manifest {
+fn build_manifest(current: &settings::Effective) -> Manifest {
     let listed = |part: &Rc<settings::Part>| Listed {
         name: part.name.to_string(),
         digest: part.digest.clone(),
--- a/components/router/src/scheduler.rs
+++ b/components/router/src/scheduler.rs
@@ -22,7 +22,7 @@
         link_bytes: effective.limits.link_bytes,
     });
     for (key, class) in changed(&effective.classes, last.map(|last| &last.classes)) {
-        scheduler.set_class(key, self::class(class));
+        scheduler.set_class(key, policy_class(class));
     }
     for (key, workspace) in changed(&effective.workspaces, last.map(|last| &last.workspaces)) {
         let servers = workspace.servers.clone();
@@ -30,7 +30,7 @@
         scheduler.set_workspace(key, policy::Workspace { weight, in_flight, servers });
     }
     for (key, server) in changed(&effective.servers, last.map(|last| &last.servers)) {
-        scheduler.set_server(key, self::server(server));
+        scheduler.set_server(key, policy_server(server));
     }
     let Some(last) = last else { return };
     for key in last.classes.keys().filter(|key| !effective.classes.contains_key(*key)) {
@@ -55,7 +55,7 @@
     now.iter().filter(move |(key, value)| !same(*key, value)).map(|(key, value)| (key, &**value))
 }
 
-fn class(class: &settings::Class) -> policy::Class {
+fn policy_class(class: &settings::Class) -> policy::Class {
     policy::Class {
         tier: class.rank,
         priority: class.rank,
@@ -79,11 +79,11 @@
     let affected = |address: &String| before.contains(address) || now.contains(address);
     for (key, server) in effective.servers.iter().filter(|(_, server)| affected(&server.address)) {
         let leaving = server.leaving || now.contains(&server.address);
-        scheduler.set_server(key, policy::Server { leaving, ..self::server(server) });
+        scheduler.set_server(key, policy::Server { leaving, ..policy_server(server) });
     }
 }
 
-fn server(server: &settings::Server) -> policy::Server {
+fn policy_server(server: &settings::Server) -> policy::Server {
     policy::Server {
         region: server.region,
         domain: server.domain,
--- a/components/router/src/state.rs
+++ b/components/router/src/state.rs
@@ -26,7 +26,7 @@
 
 /// Seed of the scheduler's random choices. It differs between nodes, so that they don't all choose the
 /// same server at the same time, and is the same in each run of a node, so that a run can be repeated.
-fn seed(name: &str) -> u64 {
+fn scheduler_seed(name: &str) -> u64 {
     xxhash_rust::xxh3::xxh3_64(name.as_bytes())
 }
 
@@ -71,7 +71,7 @@
     pub(crate) fn new(node: Node) -> Rc<Self> {
         let clock = clock::Runtime::new();
         let since = clock.wall().duration_since(std::time::UNIX_EPOCH).unwrap_or_default();
-        let seed = seed(&node.name);
+        let seed = scheduler_seed(&node.name);
         let scheduler = Scheduler::with_seed(seed);
         let key_owner = idempotency::Owner::new(idempotency::Member {
             name: node.name.clone(),
--- a/components/router/src/stream.rs
+++ b/components/router/src/stream.rs
@@ -31,7 +31,7 @@
 /// A stream that is relayed from a backend server to a caller.
 pub(crate) struct Relay {
     submission: Submission,
-    life: Option<lifecycle::Request<Streaming>>,
+    lifecycle: Option<lifecycle::Request<Streaming>>,
     source: Box<engine::Stream>,
     /// What the server sent before the response to the caller began.
     first: Option<Piece>,
@@ -49,16 +49,16 @@
 impl Relay {
     pub(crate) fn new(
         submission: Submission,
-        life: lifecycle::Request<Streaming>,
+        lifecycle: lifecycle::Request<Streaming>,
         source: Box<engine::Stream>,
         first: Option<Piece>,
         payload: Payload,
         open: OpenRequest,
     ) -> Self {
-        let life = Some(life);
+        let lifecycle = Some(lifecycle);
         Relay {
             submission,
-            life,
+            lifecycle,
             source,
             first,
             payload,
@@ -77,7 +77,7 @@
             tokio::time::sleep(FLUSH_DELAY).await;
             return Some(Err(io::Error::other("the answer broke off")));
         }
-        self.life.as_ref()?;
+        self.lifecycle.as_ref()?;
         loop {
             let error = match self.next_piece().await {
                 Ok(Some(piece)) => return Some(Ok(self.record_piece(piece))),
@@ -126,7 +126,7 @@
 
     /// Ends a complete stream.
     fn finish(&mut self) -> Option<io::Result<Bytes>> {
-        let life = self.life.take()?;
+        let lifecycle = self.lifecycle.take()?;
         self.submission.end_attempt(Ending::Completed);
         self.tokens = 0;
         record_response_time(&self.submission.state, &self.payload);
@@ -135,28 +135,28 @@
         }
         record_outcome(
             &self.submission.state,
-            life.id(),
+            lifecycle.id(),
             &self.payload.class.name,
-            life.complete(),
+            lifecycle.complete(),
         );
         None
     }
 
     /// Ends a truncated stream; returns the error event.
     fn truncate(&mut self) -> Option<io::Result<Bytes>> {
-        let life = self.life.take()?;
-        let id = life.id();
+        let lifecycle = self.lifecycle.take()?;
+        let id = lifecycle.id();
         self.truncated = true;
-        record_outcome(&self.submission.state, id, &self.payload.class.name, life.truncated());
+        record_outcome(&self.submission.state, id, &self.payload.class.name, lifecycle.truncated());
         Some(Ok(truncated_event(id)))
     }
 
     /// Continues the stream at another server where it stopped; returns whether one does.
     async fn resume(&mut self, error: AttemptError) -> bool {
-        let Some(mut life) = self.life.take() else { return false };
+        let Some(mut lifecycle) = self.lifecycle.take() else { return false };
         let mut error = error;
         loop {
-            error.record(&self.submission, life.id(), life.attempt());
+            error.record(&self.submission, lifecycle.id(), lifecycle.attempt());
             self.submission.state.metrics.failed(&self.payload.class.name);
             let point = self.source.point();
             let (Some(proof), Some(point)) = (self.payload.repeatable(), point) else {
@@ -168,18 +168,18 @@
             }
             let server = self.submission.wait_for_server().await;
             let Some(server) = server.ok().filter(|server| server.resumes) else { break };
-            life = life.pause(proof).resume();
-            let call = self.payload.call(life.id(), life.attempt(), &server);
+            lifecycle = lifecycle.pause(proof).resume();
+            let call = self.payload.call(lifecycle.id(), lifecycle.attempt(), &server);
             error = match self.request_resumption(&call, &point).await {
                 Ok(source) => {
                     self.source = source;
-                    self.life = Some(life);
+                    self.lifecycle = Some(lifecycle);
                     return true;
                 }
                 Err(error) => error,
             };
         }
-        self.life = Some(life);
+        self.lifecycle = Some(lifecycle);
         false
     }
 
@@ -197,7 +197,7 @@
             Reply::Stream(source) => Ok(source),
             Reply::Whole(whole) => Err(AttemptError::Failure(Failure::Lost {
                 address: call.address.clone(),
-                cause: format!("status {} in submission of a stream", whole.status),
+                cause: format!("status {} in place of a stream", whole.status),
             })),
         }
     }
@@ -205,8 +205,8 @@
 
 impl Drop for Relay {
     fn drop(&mut self) {
-        if let Some(life) = &self.life {
-            let (id, class) = (life.id(), self.payload.class.name.as_str());
+        if let Some(lifecycle) = &self.lifecycle {
+            let (id, class) = (lifecycle.id(), self.payload.class.name.as_str());
             self.submission.state.metrics.outcome(class, CALLER_GONE);
             log::info!(request:% = id, class = class, outcome = CALLER_GONE; "ended");
         }
