--- a/components/router/src/relay.rs
+++ b/components/router/src/relay.rs
@@ -219,8 +219,8 @@
     }
 }
 
-/// Makes an attempt, and a second one at the same server if the first may have run and the server itself runs
-/// each key at most once.
+/// Makes an attempt, and a second one at the same server if the first may have run and the server itself
+/// runs each key at most once.
 async fn attempt_with_repeat(
     submission: &mut Submission,
     payload: &Payload,
--- a/components/router/src/revisions/apply.rs
+++ b/components/router/src/revisions/apply.rs
@@ -68,7 +68,7 @@
     }
 }
 
-/// Compares an offered revision with the one in force and records the result; returns whether to apply
+/// Compares an offered revision with the known ones and records the result; returns whether to apply
 /// it.
 pub(super) fn check_offered(state: &State, offered: Shown, by: &str) -> bool {
     let revisions = &state.revisions;
