--- a/components/router/src/terms.rs
+++ b/components/router/src/scheduler.rs
@@ -1,4 +1,4 @@
-//! Turns settings into what the decisions know.
+//! Applies settings to the scheduler.
 
 use std::collections::BTreeSet;
 use std::rc::Rc;
@@ -8,16 +8,21 @@
 use slotmap::{Key, SecondaryMap};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Makes `effective` the terms of the decisions; what `last` had and it hasn't is forgotten. What
-/// both share isn't touched, so a small change costs little and disturbs no one else's turn.
-pub(crate) fn apply(scheduler: &mut Scheduler, last: Option<&Effective>, effective: &Effective) {
+/// Applies the settings `effective` to the scheduler, and removes what only the previous settings
+/// `last` have. What both have alike isn't touched, so that a small change costs little and doesn't
+/// affect the queued requests of others.
+pub(crate) fn apply_settings(
+    scheduler: &mut Scheduler,
+    last: Option<&Effective>,
+    effective: &Effective,
+) {
     scheduler.set_limits(policy::Limits {
         retry_percent: effective.limits.retry_percent,
         retry_burst: policy::RETRY_BURST,
         link_bytes: effective.limits.link_bytes,
     });
     for (key, class) in changed(&effective.classes, last.map(|last| &last.classes)) {
-        scheduler.set_class(key, self::class(class));
+        scheduler.set_class(key, policy_class(class));
     }
     for (key, workspace) in changed(&effective.workspaces, last.map(|last| &last.workspaces)) {
         let servers = workspace.servers.clone();
@@ -25,7 +30,7 @@
         scheduler.set_workspace(key, policy::Workspace { weight, in_flight, servers });
     }
     for (key, server) in changed(&effective.servers, last.map(|last| &last.servers)) {
-        scheduler.set_server(key, self::server(server));
+        scheduler.set_server(key, policy_server(server));
     }
     let Some(last) = last else { return };
     for key in last.classes.keys().filter(|key| !effective.classes.contains_key(*key)) {
@@ -39,17 +44,18 @@
     }
 }
 
+/// The values of `now` that are new or differ from those of `last`.
 fn changed<'a, K: Key, T>(
     now: &'a SecondaryMap<K, Rc<T>>,
     last: Option<&'a SecondaryMap<K, Rc<T>>>,
 ) -> impl Iterator<Item = (K, &'a T)> {
     let same = move |key: K, value: &Rc<T>| {
-        last.and_then(|last| last.get(key)).is_some_and(|held| Rc::ptr_eq(held, value))
+        last.and_then(|last| last.get(key)).is_some_and(|old| Rc::ptr_eq(old, value))
     };
     now.iter().filter(move |(key, value)| !same(*key, value)).map(|(key, value)| (key, &**value))
 }
 
-fn class(class: &settings::Class) -> policy::Class {
+fn policy_class(class: &settings::Class) -> policy::Class {
     policy::Class {
         tier: class.rank,
         priority: class.rank,
@@ -62,22 +68,22 @@
     }
 }
 
-/// Marks the servers at the addresses that the list of VMs has as leaving `now`, and takes the mark
-/// from those that it had `before`.
-pub(crate) fn leave(
+/// Marks the servers at the addresses that the list of VMs marks as leaving `now`, and removes the mark
+/// from those that it marked `before` and no longer does.
+pub(crate) fn apply_leaving(
     scheduler: &mut Scheduler,
     effective: &Effective,
     before: &BTreeSet<String>,
     now: &BTreeSet<String>,
 ) {
-    let marked = |address: &String| before.contains(address) || now.contains(address);
-    for (key, server) in effective.servers.iter().filter(|(_, server)| marked(&server.address)) {
+    let affected = |address: &String| before.contains(address) || now.contains(address);
+    for (key, server) in effective.servers.iter().filter(|(_, server)| affected(&server.address)) {
         let leaving = server.leaving || now.contains(&server.address);
-        scheduler.set_server(key, policy::Server { leaving, ..self::server(server) });
+        scheduler.set_server(key, policy::Server { leaving, ..policy_server(server) });
     }
 }
 
-fn server(server: &settings::Server) -> policy::Server {
+fn policy_server(server: &settings::Server) -> policy::Server {
     policy::Server {
         region: server.region,
         domain: server.domain,
--- a/src/bin/godwitleverd.rs
+++ b/src/bin/godwitleverd.rs
@@ -120,7 +120,7 @@
         };
         telemetry::start_logging(format, log::LevelFilter::Info)?;
         let router = Router::start(node).await?;
-        log::info!(callers:% = router.callers(), operators:% = router.operators(); "listening");
+        log::info!(callers:% = router.caller_address(), operators:% = router.operator_address(); "listening");
         Ok(Running::Router(router))
     }
 
@@ -152,7 +152,7 @@
     /// Returns the number of requests that the node hasn't answered completely.
     fn open_requests(&self) -> usize {
         match self {
-            Running::Router(router) => router.held(),
+            Running::Router(router) => router.open_requests(),
             Running::Proxy(proxy) => proxy.open_requests(),
         }
     }
@@ -169,7 +169,7 @@
     /// Stops the node at once; returns how many requests were aborted.
     fn abort(&self) -> usize {
         match self {
-            Running::Router(router) => router.cut().len(),
+            Running::Router(router) => router.abort().len(),
             Running::Proxy(proxy) => proxy.abort().len(),
         }
     }
--- a/src/cmd/demo/cluster.rs
+++ b/src/cmd/demo/cluster.rs
@@ -49,7 +49,7 @@
         }
         let entries = cluster.routers.iter().enumerate();
         cluster.platform.list(entries.map(|(index, router)| listed_vm(index, router)).collect());
-        while !cluster.routers.iter().all(Router::ready) {
+        while !cluster.routers.iter().all(Router::is_ready) {
             tokio::time::sleep(READY_POLL_INTERVAL).await;
         }
         Ok(cluster)
@@ -57,7 +57,7 @@
 
     /// Returns a router's address for callers; indices beyond the last router wrap around.
     pub fn caller_address(&self, index: usize) -> SocketAddr {
-        self.routers[index % self.routers.len()].callers()
+        self.routers[index % self.routers.len()].caller_address()
     }
 
     /// Returns how often the backend servers ran the request of a record.
@@ -78,7 +78,7 @@
         format!(
             "{ROUTER_COUNT} routers before {ENGINE_COUNT} engines of {SLOTS} places and a desk; status at \
              http://{}/status",
-            self.routers[0].operators()
+            self.routers[0].operator_address()
         )
     }
 
@@ -134,7 +134,7 @@
 
 /// Returns a router's entry in the list of VMs.
 fn listed_vm(index: usize, router: &Router) -> Vm {
-    let address = router.peers().to_string();
+    let address = router.peer_address().to_string();
     Vm {
         name: node_name(index),
         role: Role::Entry,
