--- a/components/engine/src/client.rs
+++ b/components/engine/src/client.rs
@@ -1,3 +1,6 @@
+//! HTTP client that sends calls to backend servers and checks that each answer is the call's own and
+//! complete.
+
 use std::time::Duration;
 
 use actix_http::header::{HeaderName, HeaderValue};
@@ -7,194 +10,202 @@
 use serde::Deserialize;
 use tokio::time::Instant;
 
-use crate::scan::{Garbled, Piece, Scan};
+use crate::events::{Batch, Parser, StreamError};
 use crate::wire::{
-    ATTEMPT, KEY, LAST_EVENT, LOAD, Load, NOT_RUN, PRIORITY, REPLAYED, REQUEST_ID, RESUME,
+    ATTEMPT, IDEMPOTENCY_KEY, LAST_EVENT, LOAD_PATH, Load, NOT_RUN, PRIORITY, REPLAYED, REQUEST_ID,
+    RESUME,
 };
 
-/// Largest whole answer that is taken in.
-const LARGEST: usize = 16 << 20;
+/// Largest accepted body of an answer that isn't streamed.
+const MAX_BODY_BYTES: usize = 16 << 20;
 
 derives::data! {
-    /// What an answer is checked for.
+    /// Checks that an answer must pass.
     #[derive(Copy, Eq)]
     pub enum Kind {
-        /// A completion: each part names the request, and a finish mark ends it.
+        /// A completion: the answer, or each event of a stream, carries the request id, and each
+        /// choice has a finish reason.
         Completion,
-        /// Anything: whole once its length or last chunk came.
+        /// Any body: complete once `content-length` bytes or the last chunk have arrived.
         Plain,
     }
 
     /// One call to a backend server.
     pub struct Call {
-        /// The request's id.
+        /// Request id; the answer must carry the same.
         pub id: ids::Request,
-        /// Number of the attempt.
+        /// Number of this attempt at the request.
         pub attempt: u32,
-        /// What the answer is checked for.
+        /// Checks that the answer must pass.
         pub kind: Kind,
-        /// Address of the server.
+        /// Host and port of the server.
         pub address: String,
         /// Path and query.
         pub path: String,
         /// Media type of the body.
-        pub media: String,
-        /// The body.
+        pub media_type: String,
+        /// Request body.
         pub body: Bytes,
-        /// Rank of the tier.
+        /// Rank of the request's tier; 0 is the highest.
         pub priority: u8,
-        /// Use a connection that carried nothing before, and carries nothing after.
-        pub fresh: bool,
-        /// Idempotency key.
-        pub key: Option<ids::Request>,
-        /// Further headers.
+        /// Opens a new connection for this call and doesn't reuse it afterwards.
+        pub fresh_connection: bool,
+        /// Idempotency key, sent to the server if set.
+        pub idempotency_key: Option<ids::Request>,
+        /// Additional headers.
         pub headers: Vec<(&'static str, String)>,
     }
 
-    /// A whole answer.
-    pub struct Whole {
-        /// Status.
+    /// An answer that was read to its end.
+    pub struct WholeReply {
+        /// HTTP status code.
         pub status: u16,
-        /// Media type.
-        pub media: String,
-        /// Body.
+        /// `content-type` header; empty if absent.
+        pub media_type: String,
+        /// Response body.
         pub body: Bytes,
-        /// What another router said of the request's outcome, where it answered.
+        /// `x-outcome` header, which another router sets with the outcome of the request; empty if
+        /// absent.
         pub outcome: String,
-        /// Another router gave the answer of an earlier call with the same key.
+        /// Another router replayed its stored answer to an earlier call with the same idempotency key.
         pub replayed: bool,
     }
 }
 
-/// Why a call gave no whole answer.
+/// Why a call has no complete answer.
 #[derive(Debug, thiserror::Error)]
 pub enum Failure {
-    /// No connection was made, so nothing was sent.
-    #[error("no connection to {address} ({cause})")]
+    /// The call wasn't sent: it couldn't be encoded, or the connection failed.
+    #[error("call not sent to {address} ({cause})")]
     Unconnected {
         /// Address of the server.
         address: String,
-        /// What the connection said.
+        /// Error from the connection or the encoding.
         cause: String,
     },
-    /// The server said that it ran nothing.
+    /// The server refused the call and stated that it didn't run it.
     #[error("{address} declined with status {status}")]
     Declined {
         /// Address of the server.
         address: String,
-        /// Its status.
+        /// HTTP status code of the refusal.
         status: u16,
     },
-    /// An answer to another request, or to an older attempt of this one. Ours may have run.
-    #[error("{address} answered another request or attempt")]
-    Crossed {
+    /// The answer belongs to another request or another attempt. This call may have run.
+    #[error("{address} returned the answer to another request or attempt")]
+    Mismatched {
         /// Address of the server.
         address: String,
     },
-    /// It may have run.
+    /// The call was sent and failed before a valid, complete answer arrived. It may have run.
     #[error("{address} failed after the call was sent ({cause})")]
-    Lost {
+    Indeterminate {
         /// Address of the server.
         address: String,
-        /// What was seen.
+        /// Error from the connection or from the check of the answer.
         cause: String,
     },
 }
 
 impl Failure {
-    /// Whether the call provably ran nothing.
-    pub fn unsent(&self) -> bool {
+    /// Whether the server certainly didn't run the call.
+    pub fn was_not_executed(&self) -> bool {
         matches!(self, Failure::Unconnected { .. } | Failure::Declined { .. })
     }
 }
 
-/// The start of an answer.
+/// An answer: a stream that has started, or a complete body.
 pub enum Reply {
     /// A stream of server-sent events.
     Stream(Box<Stream>),
-    /// The whole answer.
-    Whole(Whole),
+    /// A complete answer.
+    Whole(WholeReply),
 }
 
-/// An answer that comes in pieces. Dropping it closes the connection, which cancels the work.
+/// A streamed answer. Dropping it closes the connection, which cancels the request at the server.
 pub struct Stream {
     address: String,
-    idle: Duration,
-    scan: Option<Scan>,
+    idle_timeout: Duration,
+    parser: Option<Parser>,
     body: Body,
-    /// When the last token came.
-    progress: Instant,
+    /// When the last token arrived, or the last bytes if the stream isn't parsed.
+    last_progress: Instant,
     ended: bool,
 }
 
 impl Stream {
-    /// The next whole events and the number of tokens in them; none at the true end of the answer.
-    pub async fn next(&mut self) -> Result<Option<Piece>, Failure> {
-        if self.ended || self.scan.as_ref().is_some_and(Scan::done) {
+    /// Returns the next complete events and the number of tokens in them, or `None` once the answer
+    /// is complete. A stream that ends early is an error.
+    pub async fn next(&mut self) -> Result<Option<Batch>, Failure> {
+        if self.ended || self.parser.as_ref().is_some_and(Parser::is_done) {
             return Ok(None);
         }
-        // Comments keep a connection alive without being progress: an engine that hangs behind a
-        // live front would hold its caller for ever, so the time since the last token counts.
-        let due = self.progress + self.idle;
-        let Ok(piece) = tokio::time::timeout_at(due, self.piece()).await else {
-            return Err(self.lost("silent for too long"));
+        // The timeout runs from the last token rather than the last bytes: a proxy in front of a
+        // stalled engine may keep sending SSE comments, and the caller would wait forever.
+        let deadline = self.last_progress + self.idle_timeout;
+        let Ok(batch) = tokio::time::timeout_at(deadline, self.next_batch()).await else {
+            return Err(self.indeterminate("idle timeout"));
         };
-        let moved = |piece: &Piece| piece.tokens > 0 || self.scan.is_none();
-        if piece.as_ref().is_ok_and(|piece| piece.as_ref().is_some_and(moved)) {
-            self.progress = Instant::now();
+        let made_progress = |batch: &Batch| batch.tokens > 0 || self.parser.is_none();
+        if batch.as_ref().is_ok_and(|batch| batch.as_ref().is_some_and(made_progress)) {
+            self.last_progress = Instant::now();
         }
-        piece
+        batch
     }
 
-    /// What another server needs to go on: the state and the text so far.
-    pub fn point(&self) -> Option<Point> {
-        let scan = self.scan.as_ref()?;
-        let (event, text) = scan.point()?;
-        Some(Point { event, text: text.to_string(), scan: scan.resumed() })
+    /// State from which another server can continue the answer. `None` if the stream isn't parsed,
+    /// its events aren't numbered, or the answer has several choices.
+    pub fn checkpoint(&self) -> Option<Checkpoint> {
+        let parser = self.parser.as_ref()?;
+        let (event, text) = parser.checkpoint()?;
+        Some(Checkpoint { event, text: text.to_string(), parser: parser.resumed() })
     }
 
-    async fn piece(&mut self) -> Result<Option<Piece>, Failure> {
+    /// Reads from the connection until at least one event is complete. Bytes of a stream that isn't
+    /// parsed are returned as they arrive.
+    async fn next_batch(&mut self) -> Result<Option<Batch>, Failure> {
         loop {
             let bytes = match self.body.next().await {
-                Err(cause) => return Err(self.lost(cause)),
+                Err(cause) => return Err(self.indeterminate(cause)),
                 Ok(bytes) => bytes,
             };
-            let Some(scan) = &mut self.scan else {
+            let Some(parser) = &mut self.parser else {
                 self.ended = bytes.is_none();
-                return Ok(bytes.map(|bytes| Piece { bytes, tokens: 0, dropped: 0 }));
+                return Ok(bytes.map(|bytes| Batch { bytes, tokens: 0, dropped: 0 }));
             };
             let Some(bytes) = bytes else {
-                return Err(self.lost("the stream ended without its end mark"));
+                return Err(self.indeterminate("the stream ended without [DONE]"));
             };
-            let piece = match scan.feed(&bytes) {
-                Err(Garbled::Crossed) => {
-                    return Err(Failure::Crossed { address: self.address.clone() });
+            let batch = match parser.feed(&bytes) {
+                Err(StreamError::Mismatched) => {
+                    return Err(Failure::Mismatched { address: self.address.clone() });
                 }
-                Err(cause) => return Err(self.lost(cause)),
-                Ok(piece) => piece,
+                Err(cause) => return Err(self.indeterminate(cause)),
+                Ok(batch) => batch,
             };
-            if piece.dropped > 0 || !piece.bytes.is_empty() {
-                return Ok(Some(piece));
+            if batch.dropped > 0 || !batch.bytes.is_empty() {
+                return Ok(Some(batch));
             }
         }
     }
 
-    fn lost(&self, cause: impl ToString) -> Failure {
-        Failure::Lost { address: self.address.clone(), cause: cause.to_string() }
+    fn indeterminate(&self, cause: impl ToString) -> Failure {
+        Failure::Indeterminate { address: self.address.clone(), cause: cause.to_string() }
     }
 }
 
-/// Where a stream stopped.
+/// State from which another server can continue a stream.
 #[derive(Clone, Debug)]
-pub struct Point {
+pub struct Checkpoint {
     event: u64,
     text: String,
-    scan: Scan,
+    parser: Parser,
 }
 
-impl Point {
-    /// The body with the text so far in it; none if the body isn't a JSON object.
-    fn body(&self, body: &[u8]) -> Option<Bytes> {
+impl Checkpoint {
+    /// Returns the request body with the text generated so far added to it; `None` if the body isn't
+    /// a JSON object.
+    fn resume_body(&self, body: &[u8]) -> Option<Bytes> {
         let mut body: serde_json::Map<String, serde_json::Value> =
             serde_json::from_slice(body).ok()?;
         body.insert(RESUME.to_string(), self.text.clone().into());
@@ -202,131 +213,153 @@
     }
 }
 
-/// Client of backend servers.
+/// Client that sends calls to backend servers.
 #[derive(Clone)]
 pub struct Client {
-    pooled: awc::Client,
+    http: awc::Client,
     pool: Pool,
-    connect: Duration,
-    idle: Duration,
+    connect_timeout: Duration,
+    idle_timeout: Duration,
 }
 
 impl Client {
-    /// A client that waits `connect` for a connection and `idle` for the next bytes.
-    pub fn new(connect: Duration, idle: Duration) -> Self {
-        let connector = awc::Connector::new().timeout(connect).limit(0);
+    /// Creates a client that waits `connect_timeout` for a connection, and `idle_timeout` for the
+    /// head of an answer, for all of a body that isn't streamed, and for each next token of a stream
+    /// (the next bytes, if the stream isn't parsed).
+    pub fn new(connect_timeout: Duration, idle_timeout: Duration) -> Self {
+        let connector = awc::Connector::new().timeout(connect_timeout).limit(0);
         let builder = awc::Client::builder().connector(connector).disable_timeout();
-        let pooled = builder.disable_redirects().finish();
-        Client { pooled, pool: Pool::default(), connect, idle }
+        let http = builder.disable_redirects().finish();
+        Client { http, pool: Pool::default(), connect_timeout, idle_timeout }
     }
 
-    /// Sends a call once and waits for the start of its answer. Nothing is ever sent a second
-    /// time here, whatever happens to the connection.
+    /// Sends a call and waits for its answer, or for the start of a stream. The call is sent at most
+    /// once: it isn't retried here on any connection error, because the server may have run it.
     pub async fn call(&self, call: &Call) -> Result<Reply, Failure> {
-        let scan = Scan::new(&call.id.to_string());
-        self.send(call, call.body.clone(), scan, None).await
+        let parser = Parser::new(&call.id.to_string());
+        self.send(call, call.body.clone(), parser, None).await
     }
 
-    /// Sends a call whose answer begins after `point`.
-    pub async fn resume(&self, call: &Call, point: &Point) -> Result<Reply, Failure> {
-        let body = point.body(&call.body);
+    /// Sends a call whose answer continues after `checkpoint`. Fails with [`Failure::Unconnected`] if
+    /// the body of the call isn't a JSON object.
+    pub async fn resume(&self, call: &Call, checkpoint: &Checkpoint) -> Result<Reply, Failure> {
+        let body = checkpoint.resume_body(&call.body);
         let body = body.ok_or_else(|| Failure::Unconnected {
             address: call.address.clone(),
-            cause: "the body takes no text so far".to_string(),
+            cause: "the body isn't a JSON object, so the generated text can't be added".to_string(),
         })?;
-        self.send(call, body, point.scan.clone(), Some(point.event)).await
+        self.send(call, body, checkpoint.parser.clone(), Some(checkpoint.event)).await
     }
 
     async fn send(
         &self,
         call: &Call,
         body: Bytes,
-        scan: Scan,
-        last: Option<u64>,
+        parser: Parser,
+        last_event: Option<u64>,
     ) -> Result<Reply, Failure> {
-        let lost = |cause: String| Failure::Lost { address: call.address.clone(), cause };
+        let indeterminate =
+            |cause: String| Failure::Indeterminate { address: call.address.clone(), cause };
         let unconnected =
             |cause: String| Failure::Unconnected { address: call.address.clone(), cause };
-        let head = head(call, last).map_err(unconnected)?;
-        let kept = if call.fresh { None } else { self.pool.take(&call.address) };
-        let connection = match kept {
+        let head = request_head(call, last_event).map_err(unconnected)?;
+        let pooled = if call.fresh_connection { None } else { self.pool.take(&call.address) };
+        let connection = match pooled {
             Some(connection) => connection,
-            None => Connection::connect(&call.address, self.connect)
+            None => Connection::connect(&call.address, self.connect_timeout)
                 .await
                 .map_err(|cause| unconnected(cause.to_string()))?,
         };
-        let answer = tokio::time::timeout(self.idle, connection.exchange(head, body)).await;
-        let answer = answer.map_err(|_| lost("no answer in time".to_string()))?;
-        let (head, body) = answer.map_err(|cause| lost(cause.to_string()))?;
-        judge(call, &head)?;
-        let media = text(&head, "content-type").to_string();
-        if head.status.is_success() && media.starts_with("text/event-stream") {
-            let scan = (call.kind == Kind::Completion).then_some(scan);
-            let (address, idle) = (call.address.clone(), self.idle);
-            let progress = Instant::now();
-            let stream = Stream { address, idle, scan, body, progress, ended: false };
+        let answer = tokio::time::timeout(self.idle_timeout, connection.exchange(head, body)).await;
+        let answer = answer.map_err(|_| {
+            indeterminate("timed out waiting for the head of the answer".to_string())
+        })?;
+        let (head, body) = answer.map_err(|cause| indeterminate(cause.to_string()))?;
+        check_head(call, &head)?;
+        let media_type = header_text(&head, "content-type").to_string();
+        if head.status.is_success() && media_type.starts_with("text/event-stream") {
+            let parser = (call.kind == Kind::Completion).then_some(parser);
+            let (address, idle_timeout) = (call.address.clone(), self.idle_timeout);
+            let last_progress = Instant::now();
+            let stream =
+                Stream { address, idle_timeout, parser, body, last_progress, ended: false };
             return Ok(Reply::Stream(Box::new(stream)));
         }
-        let read = tokio::time::timeout(self.idle, self.read(call, &head, body)).await;
-        let body = read.map_err(|_| lost("silent for too long".to_string()))??;
-        let outcome = text(&head, "x-outcome").to_string();
-        let replayed = text(&head, REPLAYED) == "true";
+        let read = tokio::time::timeout(self.idle_timeout, self.read_body(call, &head, body)).await;
+        let body = read.map_err(|_| indeterminate("idle timeout".to_string()))??;
+        let outcome = header_text(&head, "x-outcome").to_string();
+        let replayed = header_text(&head, REPLAYED) == "true";
         let status = head.status.as_u16();
-        Ok(Reply::Whole(Whole { status, media, body, outcome, replayed }))
+        Ok(Reply::Whole(WholeReply { status, media_type, body, outcome, replayed }))
     }
 
-    /// Reads a whole body and checks that it is one.
-    async fn read(&self, call: &Call, head: &ResponseHead, body: Body) -> Result<Bytes, Failure> {
-        let lost = |cause: String| Failure::Lost { address: call.address.clone(), cause };
-        let sized = text(head, "content-length").parse::<usize>().ok();
-        let chunked = !text(head, "transfer-encoding").is_empty();
-        if sized.is_none() && !chunked && head.status.as_u16() != 204 {
-            return Err(lost("a body without a length".to_string()));
+    /// Reads a body to its end, checks that it is complete, and returns the connection to the pool
+    /// unless the call has a connection of its own.
+    async fn read_body(
+        &self,
+        call: &Call,
+        head: &ResponseHead,
+        body: Body,
+    ) -> Result<Bytes, Failure> {
+        let indeterminate =
+            |cause: String| Failure::Indeterminate { address: call.address.clone(), cause };
+        let content_length = header_text(head, "content-length").parse::<usize>().ok();
+        let chunked = !header_text(head, "transfer-encoding").is_empty();
+        if content_length.is_none() && !chunked && head.status.as_u16() != 204 {
+            return Err(indeterminate(
+                "the body has neither content-length nor transfer-encoding".to_string(),
+            ));
         }
         let mut body = body;
         let mut all = BytesMut::new();
-        while let Some(bytes) = body.next().await.map_err(|cause| lost(cause.to_string()))? {
+        while let Some(bytes) =
+            body.next().await.map_err(|cause| indeterminate(cause.to_string()))?
+        {
             all.extend_from_slice(&bytes);
-            if all.len() > LARGEST {
-                return Err(lost(format!("a body over {LARGEST} bytes")));
+            if all.len() > MAX_BODY_BYTES {
+                return Err(indeterminate(format!("the body exceeds {MAX_BODY_BYTES} bytes")));
             }
         }
-        if sized.is_some_and(|length| length != all.len()) {
-            return Err(lost(format!("{} of {sized:?} bytes came", all.len())));
+        if content_length.is_some_and(|length| length != all.len()) {
+            return Err(indeterminate(format!(
+                "received {} bytes, content-length is {content_length:?}",
+                all.len()
+            )));
         }
         if call.kind == Kind::Completion && head.status.is_success() {
-            finished(call, &all)?;
+            check_completion(call, &all)?;
         }
-        if !call.fresh {
+        if !call.fresh_connection {
             self.pool.put(&call.address, body, None);
         }
         Ok(all.freeze())
     }
 
-    /// Reads a server's load report.
-    pub async fn load(&self, address: &str, within: Duration) -> Result<Load, Failure> {
-        let lost = |cause: String| Failure::Lost { address: address.to_string(), cause };
-        let request = self.pooled.get(format!("http://{address}{LOAD}")).timeout(within);
-        let mut response = request.send().await.map_err(|e| lost(e.to_string()))?;
-        let body = response.body().await.map_err(|e| lost(e.to_string()))?;
-        serde_json::from_slice(&body).map_err(|e| lost(e.to_string()))
+    /// Fetches a server's load report.
+    pub async fn fetch_load(&self, address: &str, timeout: Duration) -> Result<Load, Failure> {
+        let indeterminate =
+            |cause: String| Failure::Indeterminate { address: address.to_string(), cause };
+        let request = self.http.get(format!("http://{address}{LOAD_PATH}")).timeout(timeout);
+        let mut response = request.send().await.map_err(|e| indeterminate(e.to_string()))?;
+        let body = response.body().await.map_err(|e| indeterminate(e.to_string()))?;
+        serde_json::from_slice(&body).map_err(|e| indeterminate(e.to_string()))
     }
 }
 
-fn head(call: &Call, last: Option<u64>) -> Result<RequestHead, String> {
+fn request_head(call: &Call, last_event: Option<u64>) -> Result<RequestHead, String> {
     let mut head = RequestHead::default();
     head.method = Method::POST;
     head.uri = call.path.parse::<Uri>().map_err(|cause| cause.to_string())?;
-    head.set_connection_type(http_client::connection_type(call.fresh));
+    head.set_connection_type(http_client::connection_type(call.fresh_connection));
     let mut headers = vec![
         ("host", call.address.clone()),
-        ("content-type", call.media.clone()),
+        ("content-type", call.media_type.clone()),
         (REQUEST_ID, call.id.to_string()),
         (ATTEMPT, call.attempt.to_string()),
         (PRIORITY, call.priority.to_string()),
     ];
-    headers.extend(call.key.map(|key| (KEY, key.to_string())));
-    headers.extend(last.map(|last| (LAST_EVENT, last.to_string())));
+    headers.extend(call.idempotency_key.map(|key| (IDEMPOTENCY_KEY, key.to_string())));
+    headers.extend(last_event.map(|number| (LAST_EVENT, number.to_string())));
     headers.extend(call.headers.iter().cloned());
     for (name, value) in headers {
         let value = HeaderValue::try_from(value).map_err(|cause| cause.to_string())?;
@@ -335,36 +368,41 @@
     Ok(head)
 }
 
-/// Judges the head of an answer: whose it is, and whether the server ran the call.
-fn judge(call: &Call, head: &ResponseHead) -> Result<(), Failure> {
+/// Checks from the head of an answer that it belongs to the call and that the server ran the call.
+fn check_head(call: &Call, head: &ResponseHead) -> Result<(), Failure> {
     let address = call.address.clone();
     let status = head.status.as_u16();
-    let attempt = text(head, ATTEMPT);
+    let attempt = header_text(head, ATTEMPT);
     if !attempt.is_empty() && attempt != call.attempt.to_string() {
-        return Err(Failure::Crossed { address });
+        return Err(Failure::Mismatched { address });
     }
-    let id = text(head, REQUEST_ID);
-    // A server that declines may do so before it has read the id; an id it gives must be ours.
-    let ours = id == call.id.to_string();
-    if text(head, NOT_RUN) == "true" && (ours || id.is_empty()) {
+    let id = header_text(head, REQUEST_ID);
+    // A server may refuse a call before it has read the request id, so the refusal may lack an id;
+    // an id that is present must match.
+    let id_matches = id == call.id.to_string();
+    if header_text(head, NOT_RUN) == "true" && (id_matches || id.is_empty()) {
         return Err(Failure::Declined { address, status });
     }
-    if !ours && !id.is_empty() {
-        return Err(Failure::Crossed { address });
+    if !id_matches && !id.is_empty() {
+        return Err(Failure::Mismatched { address });
     }
-    // Two lengths are two ways to read the answer, and the wrong one may be a part of it.
+    // With both headers, the end of the body is ambiguous: by the wrong one, part of the answer
+    // could pass for all of it.
     let lengths = ["content-length", "transfer-encoding"];
-    if lengths.iter().all(|name| !text(head, name).is_empty()) {
-        return Err(Failure::Lost { address, cause: "an answer with two lengths".to_string() });
+    if lengths.iter().all(|name| !header_text(head, name).is_empty()) {
+        return Err(Failure::Indeterminate {
+            address,
+            cause: "the answer has both content-length and transfer-encoding".to_string(),
+        });
     }
-    if !ours || !(200..500).contains(&status) {
+    if !id_matches || !(200..500).contains(&status) {
         let cause = format!("status {status}, request id {id:?}");
-        return Err(Failure::Lost { address, cause });
+        return Err(Failure::Indeterminate { address, cause });
     }
     Ok(())
 }
 
-fn text<'a>(head: &'a ResponseHead, name: &str) -> &'a str {
+fn header_text<'a>(head: &'a ResponseHead, name: &str) -> &'a str {
     head.headers.get(name).and_then(|value| value.to_str().ok()).unwrap_or_default()
 }
 
@@ -379,20 +417,20 @@
     finish_reason: Option<serde::de::IgnoredAny>,
 }
 
-/// Checks that a completion is the request's own, and finished.
-fn finished(call: &Call, body: &[u8]) -> Result<(), Failure> {
+/// Checks that a completion carries the request id and that each choice has a finish reason.
+fn check_completion(call: &Call, body: &[u8]) -> Result<(), Failure> {
     let address = call.address.clone();
     let completion: Completion = match serde_json::from_slice(body) {
         Ok(completion) => completion,
-        Err(cause) => return Err(Failure::Lost { address, cause: cause.to_string() }),
+        Err(cause) => return Err(Failure::Indeterminate { address, cause: cause.to_string() }),
     };
     if completion.id != call.id.to_string() {
-        return Err(Failure::Crossed { address });
+        return Err(Failure::Mismatched { address });
     }
     let finished = completion.choices.iter().all(|choice| choice.finish_reason.is_some());
     if completion.choices.is_empty() || !finished {
-        let cause = "the answer has no finish mark".to_string();
-        return Err(Failure::Lost { address, cause });
+        let cause = "the answer has no choices, or one without a finish reason".to_string();
+        return Err(Failure::Indeterminate { address, cause });
     }
     Ok(())
 }
--- a/components/engine/src/lib.rs
+++ b/components/engine/src/lib.rs
@@ -1,10 +1,12 @@
-//! The interface to backend servers. The wire form stands in [`wire`]; another form changes only
-//! that module and the client.
+//! Client for backend servers: calls, event streams, load reports and orders.
+//!
+//! Header names, paths and the load report are defined in [`wire`]; support for another protocol
+//! changes only that module and the client.
 
 mod client;
+mod events;
 pub mod orders;
-mod scan;
 pub mod wire;
 
-pub use client::{Call, Client, Failure, Kind, Point, Reply, Stream, Whole};
-pub use scan::{Garbled, Piece, Scan};
+pub use client::{Call, Checkpoint, Client, Failure, Kind, Reply, Stream, WholeReply};
+pub use events::{Batch, Parser, StreamError};
--- a/components/engine/src/orders.rs
+++ b/components/engine/src/orders.rs
@@ -1,87 +1,90 @@
-//! Orders to an engine: what it should hold, and what it shows that it holds. JSON over HTTP.
+//! Sends orders to engines, which tell them what to load, and reads what they have loaded, as JSON
+//! over HTTP.
 
 use std::time::Duration;
 
 use serde::{Deserialize, Serialize};
 
-/// Path of what an engine holds.
-pub const CONTENT: &str = "/engine/content";
-/// Path that takes orders.
-pub const ORDER: &str = "/engine/order";
+/// Path at which an engine shows its content.
+pub const CONTENT_PATH: &str = "/engine/content";
+/// Path at which an engine accepts orders.
+pub const ORDER_PATH: &str = "/engine/order";
 
 derives::data! {
-    /// What an engine holds, or is ordered to hold.
+    /// Models, adapters and role that an engine has, or is ordered to have.
     #[derive(Default, Serialize, Deserialize)]
     pub struct Content {
-        /// Models.
+        /// Names of the models.
         pub models: Vec<String>,
-        /// Adapters.
+        /// Names of the adapters.
         #[serde(default)]
         pub adapters: Vec<String>,
         /// Version of the models.
         #[serde(default)]
         pub version: Option<String>,
-        /// Part in an answer: `mixed`, `prefill` or `decode`.
+        /// Phases of a request that the engine runs: `mixed` (both), `prefill` or `decode`.
         #[serde(default)]
         pub role: String,
-        /// Fencing number: of an order, its own; of an engine, that of the last order it took.
+        /// Fencing token: in an order, its own; in an engine's content, that of the last order that the
+        /// engine accepted.
         #[serde(default)]
         pub fence: Option<u64>,
-        /// Bytes that the engine would load to change; 0 if it can't tell.
+        /// Number of bytes that the engine would load to carry out an order; 0 if it can't tell.
         #[serde(default)]
         pub load_bytes: u64,
     }
 
-    /// What became of an order.
+    /// An engine's answer to an order.
     #[derive(Copy, Eq)]
-    pub enum Taken {
-        /// The engine carries it out.
-        Yes,
-        /// It has taken an order with a higher number.
-        Old,
+    pub enum Outcome {
+        /// The engine accepted the order.
+        Accepted,
+        /// The engine has already accepted an order with a higher fencing token.
+        Superseded,
     }
 }
 
-/// Why an engine couldn't be read or ordered.
+/// Failure to read an engine's content or to send it an order.
 #[derive(Debug, thiserror::Error)]
 #[error(
-    "{address} gives no word on orders ({cause}); set no version or adapters for an engine that takes none"
+    "{address} didn't answer as an engine that accepts orders ({cause}); if it accepts none, set no version or adapters for it"
 )]
 pub struct Error {
     address: String,
     cause: String,
 }
 
-/// Client for orders.
+/// Client that sends orders to engines.
 #[derive(Clone)]
-pub struct Orders {
+pub struct Client {
     http: awc::Client,
-    within: Duration,
+    timeout: Duration,
 }
 
-impl Orders {
-    /// A client that waits so long for an answer.
-    pub fn new(within: Duration) -> Self {
-        Orders { http: awc::Client::default(), within }
+impl Client {
+    /// Creates a client that waits `timeout` for each answer.
+    pub fn new(timeout: Duration) -> Self {
+        Client { http: awc::Client::default(), timeout }
     }
 
-    /// Reads what an engine holds.
-    pub async fn content(&self, address: &str) -> Result<Content, Error> {
+    /// Fetches an engine's content.
+    pub async fn fetch_content(&self, address: &str) -> Result<Content, Error> {
         let error = |cause: String| Error { address: address.to_string(), cause };
-        let request = self.http.get(format!("http://{address}{CONTENT}")).timeout(self.within);
+        let request =
+            self.http.get(format!("http://{address}{CONTENT_PATH}")).timeout(self.timeout);
         let mut response = request.send().await.map_err(|e| error(e.to_string()))?;
         let body = response.body().await.map_err(|e| error(e.to_string()))?;
         serde_json::from_slice(&body).map_err(|e| error(e.to_string()))
     }
 
-    /// Gives an order.
-    pub async fn give(&self, address: &str, order: &Content) -> Result<Taken, Error> {
+    /// Sends an order to an engine. Any status but 200 (accepted) and 409 (superseded) is an error.
+    pub async fn send_order(&self, address: &str, order: &Content) -> Result<Outcome, Error> {
         let error = |cause: String| Error { address: address.to_string(), cause };
-        let request = self.http.post(format!("http://{address}{ORDER}")).timeout(self.within);
+        let request = self.http.post(format!("http://{address}{ORDER_PATH}")).timeout(self.timeout);
         let response = request.send_json(order).await.map_err(|e| error(e.to_string()))?;
         match response.status().as_u16() {
-            200 => Ok(Taken::Yes),
-            409 => Ok(Taken::Old),
+            200 => Ok(Outcome::Accepted),
+            409 => Ok(Outcome::Superseded),
             status => Err(error(format!("status {status}"))),
         }
     }
--- a/components/fakes/src/engine.rs
+++ b/components/fakes/src/engine.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use ::engine::wire::{LOAD, Load, NOT_RUN, REQUEST_ID};
+use ::engine::wire::{LOAD_PATH, Load, NOT_RUN, REQUEST_ID};
 use actix_http::body::{BodyStream, BoxBody};
 use actix_http::{HttpMessage, Request, Response};
 use bytes::Bytes;
@@ -140,7 +140,7 @@
 }
 
 async fn answer(state: Rc<State>, mut request: Request) -> Response<BoxBody> {
-    if request.path() == LOAD {
+    if request.path() == LOAD_PATH {
         return load(&state);
     }
     if orders::concerns(request.path()) {
--- a/components/fakes/src/orders.rs
+++ b/components/fakes/src/orders.rs
@@ -2,7 +2,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use ::engine::orders::{CONTENT, Content, ORDER};
+use ::engine::orders::{CONTENT_PATH, Content, ORDER_PATH};
 use actix_http::body::BoxBody;
 use actix_http::{Request, Response};
 use futures_util::StreamExt;
@@ -47,11 +47,11 @@
 
 /// Whether a path is one of orders.
 pub(crate) fn concerns(path: &str) -> bool {
-    [CONTENT, ORDER].contains(&path)
+    [CONTENT_PATH, ORDER_PATH].contains(&path)
 }
 
 pub(crate) async fn answer(orders: Rc<Orders>, mut request: Request) -> Response<BoxBody> {
-    if request.path() == CONTENT {
+    if request.path() == CONTENT_PATH {
         let body = serde_json::to_string(&*orders.content.borrow()).expect("plain fields");
         return Response::build(status(200)).body(body).map_into_boxed_body();
     }
--- a/components/fakes/src/raw.rs
+++ b/components/fakes/src/raw.rs
@@ -7,7 +7,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use ::engine::wire::{ATTEMPT, LOAD, REQUEST_ID};
+use ::engine::wire::{ATTEMPT, LOAD_PATH, REQUEST_ID};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
 use tokio::sync::watch;
@@ -167,7 +167,7 @@
         };
         // Load reports, and what a router of an earlier site still asks of a port that was its
         // platform's.
-        if head.starts_with(&format!("GET {LOAD}")) || value(&head, state.name).is_empty() {
+        if head.starts_with(&format!("GET {LOAD_PATH}")) || value(&head, state.name).is_empty() {
             return stream.write_all(b"HTTP/1.1 404 None\r\ncontent-length: 0\r\n\r\n").await;
         }
         let number = state.received.replace(state.received.get() + 1);
--- a/components/router/src/callers.rs
+++ b/components/router/src/callers.rs
@@ -5,7 +5,7 @@
 
 use actix_http::{HttpMessage, Method, Request};
 use clock::Clock;
-use engine::wire::KEY;
+use engine::wire::IDEMPOTENCY_KEY;
 use lifecycle::{Outcome, Reason, Received};
 use serde::Deserialize;
 use settings::{Effective, ServerKind, Workspace};
@@ -196,10 +196,10 @@
 /// The idempotency key, if it has an issue time. Without one a new key can't be distinguished from one
 /// that ran long ago, so that calls that must not run twice are rejected with such a key.
 fn idempotency_key(request: &Request, idempotent: bool) -> Result<Option<ids::Request>, Error> {
-    if !request.headers().contains_key(KEY) {
+    if !request.headers().contains_key(IDEMPOTENCY_KEY) {
         return Ok(None);
     }
-    let key = header(request, KEY).and_then(|text| ids::Request::parse(text).ok());
+    let key = header(request, IDEMPOTENCY_KEY).and_then(|text| ids::Request::parse(text).ok());
     let dated = key.filter(|key| key.issued().is_some());
     if dated.is_none() && !idempotent {
         return Err(Error::UndatedKey);
--- a/components/router/src/engines.rs
+++ b/components/router/src/engines.rs
@@ -70,7 +70,7 @@
 
 async fn poll(state: Rc<State>, server: u32, address: String) {
     let engines = state.engine_client.borrow().clone();
-    let Ok(load) = engines.load(&address, POLL_TIMEOUT).await else { return };
+    let Ok(load) = engines.fetch_load(&address, POLL_TIMEOUT).await else { return };
     let now = state.clock.now();
     let report = LoadReport {
         measured_at: now.checked_sub(Duration::from_millis(load.age_ms)).unwrap_or(now),
--- a/components/router/src/keyed.rs
+++ b/components/router/src/keyed.rs
@@ -10,7 +10,7 @@
 use bytes::Bytes;
 use clock::Clock;
 use engine::wire::{NOT_RUN, REPLAYED, REQUEST_ID};
-use engine::{Call, Client, Kind, Piece, Reply, Whole};
+use engine::{Batch, Call, Client, Kind, Reply, WholeReply};
 use futures_util::stream;
 use idempotency::{CallKey, Member, Record, StoredAnswer};
 use lifecycle::{Admitted, Outcome, Reason, Sending, Unsent, Waiting};
@@ -157,7 +157,7 @@
         Err(failure) => failure,
     };
     log::warn!(request:% = id, home = owner.name.as_str(), cause:% = failure; "owner of the key didn't answer");
-    let unsent = failure.unsent().then(Unsent::vouch);
+    let unsent = failure.was_not_executed().then(Unsent::vouch);
     let outcome = match sending.fail(unsent, None) {
         Ok(waiting) => waiting.refuse(Reason::NoServer),
         Err(outcome) => outcome,
@@ -194,16 +194,16 @@
         kind: Kind::Plain,
         address: owner.address.clone(),
         path: PATH.to_string(),
-        media: "application/msgpack".to_string(),
+        media_type: "application/msgpack".to_string(),
         body: keyed.encode().into(),
         priority: payload.class.rank,
-        fresh: true,
-        key: Some(key),
+        fresh_connection: true,
+        idempotency_key: Some(key),
         headers: vec![(peers::SECRET_HEADER, state.node.secret.clone())],
     }
 }
 
-fn whole_answer(state: &State, payload: &Payload, sending: Sending, whole: Whole) -> Answer {
+fn whole_answer(state: &State, payload: &Payload, sending: Sending, whole: WholeReply) -> Answer {
     let id = sending.id();
     let outcome = match whole.outcome.as_str() {
         "complete" => sending.complete(),
@@ -212,7 +212,7 @@
     relay::record_outcome(state, id, &payload.class.name, outcome);
     let status = StatusCode::from_u16(whole.status).unwrap_or(StatusCode::OK);
     let mut response = Response::build(status);
-    response.insert_header(("content-type", whole.media));
+    response.insert_header(("content-type", whole.media_type));
     response.insert_header((REQUEST_ID, id.to_string()));
     response.insert_header((OUTCOME_HEADER, outcome.as_str()));
     if whole.replayed {
@@ -270,7 +270,7 @@
         let lifecycle = self.lifecycle.take()?;
         let id = lifecycle.id();
         match self.source.next().await {
-            Ok(Some(Piece { bytes, .. })) => {
+            Ok(Some(Batch { bytes, .. })) => {
                 self.event_sent = bytes.starts_with(relay_stream::ERROR_EVENT.as_bytes());
                 self.lifecycle = Some(lifecycle);
                 Some(Ok(bytes))
--- a/components/router/src/orders.rs
+++ b/components/router/src/orders.rs
@@ -9,7 +9,7 @@
 use std::time::{Duration, Instant};
 
 use clock::Clock;
-use engine::orders::{Content, Orders, Taken};
+use engine::orders::{Client, Content, Outcome};
 use fleet::orders::{self, Engine, Issuer, Limits, Order};
 use fleet::{MemberStatus, polling};
 use settings::{Effective, Role, Server, ServerKind};
@@ -40,7 +40,7 @@
 }
 
 async fn run(weak: Weak<State>) {
-    let client = Orders::new(TIMEOUT);
+    let client = Client::new(TIMEOUT);
     let mut last_reads: BTreeMap<u32, LastRead> = BTreeMap::new();
     let mut issuer = None;
     loop {
@@ -73,7 +73,7 @@
 async fn run_round(
     state: &State,
     settings: &Effective,
-    client: &Orders,
+    client: &Client,
     last_reads: &mut BTreeMap<u32, LastRead>,
     issuer: &mut Option<Issuer>,
 ) {
@@ -116,7 +116,7 @@
 async fn read_contents(
     state: &State,
     settings: &Effective,
-    client: &Orders,
+    client: &Client,
     ordered: &BTreeMap<u32, Rc<Server>>,
     last_reads: &mut BTreeMap<u32, LastRead>,
 ) {
@@ -130,7 +130,7 @@
         if last_reads.get(name).is_some_and(|read| now - read.at < period) {
             continue;
         }
-        let content = match client.content(&server.address).await {
+        let content = match client.fetch_content(&server.address).await {
             Ok(content) => Some(content),
             Err(cause) => {
                 log::warn!(server = server.name.as_str(), cause:% = cause; "failed to read the engine's content");
@@ -185,7 +185,7 @@
 }
 
 /// Sends an order; returns whether the engine answered.
-async fn send_order(client: &Orders, server: &Server, order: Order) -> bool {
+async fn send_order(client: &Client, server: &Server, order: Order) -> bool {
     let content = Content {
         models: order.wanted.models.into_iter().collect(),
         adapters: order.wanted.adapters.into_iter().collect(),
@@ -195,10 +195,10 @@
         load_bytes: 0,
     };
     let name = server.name.as_str();
-    let reply = client.give(&server.address, &content).await;
+    let reply = client.send_order(&server.address, &content).await;
     match &reply {
-        Ok(Taken::Yes) => log::info!(server = name, fence = order.fence; "ordered"),
-        Ok(Taken::Old) => {
+        Ok(Outcome::Accepted) => log::info!(server = name, fence = order.fence; "ordered"),
+        Ok(Outcome::Superseded) => {
             log::warn!(server = name, fence = order.fence; "engine rejected an outdated order")
         }
         Err(cause) => {
--- a/components/router/src/relay.rs
+++ b/components/router/src/relay.rs
@@ -7,7 +7,7 @@
 use bytes::Bytes;
 use clock::Clock;
 use engine::wire::REQUEST_ID;
-use engine::{Call, Failure, Kind, Piece, Reply, Whole};
+use engine::{Batch, Call, Failure, Kind, Reply, WholeReply};
 use idempotency::StoredAnswer;
 use lifecycle::{Outcome, Reason, Repeatable, Sending, Unsent, Waiting};
 use policy::{Ending, Refusal};
@@ -59,11 +59,11 @@
             },
             address: server.address.clone(),
             path: self.path.clone(),
-            media: self.media.clone(),
+            media_type: self.media.clone(),
             body: self.body.clone(),
             priority: self.class.rank,
-            fresh: !self.class.idempotent,
-            key: self.key,
+            fresh_connection: !self.class.idempotent,
+            idempotency_key: self.key,
             headers: vec![],
         }
     }
@@ -109,10 +109,10 @@
             AttemptError::Stopped => "stopped for a higher tier".to_string(),
             AttemptError::Late => "its deadline passed".to_string(),
         };
-        if let AttemptError::Failure(Failure::Crossed { .. }) = self {
+        if let AttemptError::Failure(Failure::Mismatched { .. }) = self {
             submission.state.metrics.count_mismatched_answer();
         }
-        if let AttemptError::Failure(Failure::Lost { address, .. }) = self {
+        if let AttemptError::Failure(Failure::Indeterminate { address, .. }) = self {
             submission.record_lost_connection(address);
         }
         log::warn!(request:% = id, attempt = attempt, cause = cause.as_str(); "attempt failed");
@@ -121,7 +121,7 @@
     /// Proof that nothing of the request was sent, if the error is one.
     pub(crate) fn unsent(&self) -> Option<Unsent> {
         match self {
-            AttemptError::Failure(failure) if failure.unsent() => Some(Unsent::vouch()),
+            AttemptError::Failure(failure) if failure.was_not_executed() => Some(Unsent::vouch()),
             _ => None,
         }
     }
@@ -129,7 +129,7 @@
     /// How the attempt ended, if another may follow.
     pub(crate) fn ending(&self) -> Ending {
         match self {
-            AttemptError::Failure(failure) if failure.unsent() => Ending::NotRun,
+            AttemptError::Failure(failure) if failure.was_not_executed() => Ending::NotRun,
             AttemptError::Failure(_) => Ending::Failed,
             AttemptError::Stopped => Ending::Stopped,
             AttemptError::Late => Ending::Cancelled,
@@ -233,7 +233,7 @@
         Err(error) => error,
     };
     error.record(submission, call.id, call.attempt);
-    let proof = Repeatable::if_idempotent(server.keyed && call.key.is_some());
+    let proof = Repeatable::if_idempotent(server.keyed && call.idempotency_key.is_some());
     if payload.class.idempotent || proof.is_none() || error.unsent().is_some() {
         return (sending, Err(error));
     }
@@ -258,9 +258,9 @@
 
 /// A response of which enough was received to begin the response to the caller.
 enum ReadyReply {
-    Whole(Whole),
+    Whole(WholeReply),
     /// A stream and its first events.
-    Stream(Box<engine::Stream>, Option<Piece>),
+    Stream(Box<engine::Stream>, Option<Batch>),
 }
 
 /// Sends a call and waits for the whole response or the first events of a stream. Until then nothing
@@ -355,12 +355,12 @@
             submission.end_attempt(Ending::Completed);
             let outcome = sending.complete();
             if let Some(claim) = &payload.claim {
-                let (media, body) = (whole.media.clone(), whole.body.to_vec());
+                let (media, body) = (whole.media_type.clone(), whole.body.to_vec());
                 claim.complete(Some(StoredAnswer { status: whole.status, media, body }));
             }
             record_outcome(&submission.state, id, &payload.class.name, outcome);
             record_response_time(&submission.state, &payload);
-            response.insert_header(("content-type", whole.media));
+            response.insert_header(("content-type", whole.media_type));
             response.insert_header((OUTCOME_HEADER, outcome.as_str()));
             response.body(whole.body).map_into_boxed_body()
         }
--- a/components/router/src/stream.rs
+++ b/components/router/src/stream.rs
@@ -7,7 +7,7 @@
 use actix_http::body::{BodyStream, BoxBody, MessageBody};
 use bytes::Bytes;
 use clock::Clock;
-use engine::{Call, Failure, Piece, Point, Reply};
+use engine::{Batch, Call, Checkpoint, Failure, Reply};
 use futures_util::stream;
 use lifecycle::{Outcome, Streaming};
 use policy::Ending;
@@ -34,7 +34,7 @@
     lifecycle: Option<lifecycle::Request<Streaming>>,
     source: Box<engine::Stream>,
     /// What the server sent before the response to the caller began.
-    first: Option<Piece>,
+    first: Option<Batch>,
     payload: Payload,
     /// When tokens were last relayed.
     last_tokens: Option<Instant>,
@@ -51,7 +51,7 @@
         submission: Submission,
         lifecycle: lifecycle::Request<Streaming>,
         source: Box<engine::Stream>,
-        first: Option<Piece>,
+        first: Option<Batch>,
         payload: Payload,
         open: OpenRequest,
     ) -> Self {
@@ -91,7 +91,7 @@
         }
     }
 
-    async fn next_piece(&mut self) -> Result<Option<Piece>, AttemptError> {
+    async fn next_piece(&mut self) -> Result<Option<Batch>, AttemptError> {
         if let Some(first) = self.first.take() {
             return Ok(Some(first));
         }
@@ -105,7 +105,7 @@
     }
 
     /// Updates metrics and the scheduler; returns the bytes for the caller.
-    fn record_piece(&mut self, piece: Piece) -> Bytes {
+    fn record_piece(&mut self, piece: Batch) -> Bytes {
         let state = &self.submission.state;
         for _ in 0..piece.dropped {
             state.metrics.count_mismatched_answer();
@@ -158,7 +158,7 @@
         loop {
             error.record(&self.submission, lifecycle.id(), lifecycle.attempt());
             self.submission.state.metrics.count_failed_attempt(&self.payload.class.name);
-            let point = self.source.point();
+            let point = self.source.checkpoint();
             let (Some(proof), Some(point)) = (self.payload.repeatable(), point) else {
                 self.submission.end_attempt(error.final_ending());
                 break;
@@ -186,7 +186,7 @@
     async fn request_resumption(
         &mut self,
         call: &Call,
-        point: &Point,
+        point: &Checkpoint,
     ) -> Result<Box<engine::Stream>, AttemptError> {
         let engines = self.submission.state.engine_client.borrow().clone();
         let reply = tokio::select! {
@@ -195,7 +195,7 @@
         };
         match reply {
             Reply::Stream(source) => Ok(source),
-            Reply::Whole(whole) => Err(AttemptError::Failure(Failure::Lost {
+            Reply::Whole(whole) => Err(AttemptError::Failure(Failure::Indeterminate {
                 address: call.address.clone(),
                 cause: format!("status {} in place of a stream", whole.status),
             })),
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -126,7 +126,7 @@
     let client = engine::Client::new(Duration::from_secs(1), Duration::from_secs(1));
     loop {
         for address in &addresses {
-            if let Ok(load) = client.load(address, Duration::from_secs(1)).await {
+            if let Ok(load) = client.fetch_load(address, Duration::from_secs(1)).await {
                 most.set(most.get().max(load.running + load.queued));
             }
         }
