--- a/components/engine/src/wire.rs
+++ b/components/engine/src/wire.rs
@@ -42,7 +42,7 @@
         pub slots: u32,
         /// Time between tokens of a stream in microseconds.
         pub token_interval_us: u64,
-        /// Whether the engine is shutting down and accepts no new requests.
+        /// Whether the engine accepts no new requests.
         #[serde(default)]
         pub leaving: bool,
     }
--- a/components/engine/tests/events.rs
+++ b/components/engine/tests/events.rs
@@ -115,7 +115,7 @@
 /// If an engine never ends an event or its answer, the stream must fail before it fills the router's
 /// memory.
 #[test]
-fn errors_on_what_has_no_end() {
+fn errors_on_an_endless_event_or_answer() {
     let mut parser = Parser::new(REQUEST_ID);
     let chunk = vec![b'x'; 64 << 10];
     let too_large = (0..64).find_map(|_| parser.feed(&chunk).err());
