--- a/components/engine/src/client.rs
+++ b/components/engine/src/client.rs
@@ -1,5 +1,5 @@
-//! HTTP client that sends calls to backend servers and checks that each answer is the call's own and
-//! complete.
+//! HTTP client that sends calls to backend servers and checks that each answer is the call's own
+//! and complete.
 
 use std::time::Duration;
 
@@ -67,7 +67,8 @@
         /// `x-outcome` header, which another router sets with the outcome of the request; empty if
         /// absent.
         pub outcome: String,
-        /// Another router replayed its stored answer to an earlier call with the same idempotency key.
+        /// Another router replayed its stored answer to an earlier call with the same idempotency
+        /// key.
         pub replayed: bool,
     }
 }
@@ -203,8 +204,8 @@
 }
 
 impl Checkpoint {
-    /// Returns the request body with the text generated so far added to it; `None` if the body isn't
-    /// a JSON object.
+    /// Returns the request body with the text generated so far added to it; `None` if the body
+    /// isn't a JSON object.
     fn resume_body(&self, body: &[u8]) -> Option<Bytes> {
         let mut body: serde_json::Map<String, serde_json::Value> =
             serde_json::from_slice(body).ok()?;
@@ -224,8 +225,8 @@
 
 impl Client {
     /// Creates a client that waits `connect_timeout` for a connection, and `idle_timeout` for the
-    /// head of an answer, for all of a body that isn't streamed, and for each next token of a stream
-    /// (the next bytes, if the stream isn't parsed).
+    /// head of an answer, for all of a body that isn't streamed, and for each next token of a
+    /// stream (the next bytes, if the stream isn't parsed).
     pub fn new(connect_timeout: Duration, idle_timeout: Duration) -> Self {
         let connector = awc::Connector::new().timeout(connect_timeout).limit(0);
         let builder = awc::Client::builder().connector(connector).disable_timeout();
@@ -233,15 +234,16 @@
         Client { http, pool: Pool::default(), connect_timeout, idle_timeout }
     }
 
-    /// Sends a call and waits for its answer, or for the start of a stream. The call is sent at most
-    /// once: it isn't retried here on any connection error, because the server may have run it.
+    /// Sends a call and waits for its answer, or for the start of a stream. The call is sent at
+    /// most once: it isn't retried here on any connection error, because the server may have run
+    /// it.
     pub async fn call(&self, call: &Call) -> Result<Reply, Failure> {
         let parser = Parser::new(&call.id.to_string());
         self.send(call, call.body.clone(), parser, None).await
     }
 
-    /// Sends a call whose answer continues after `checkpoint`. Fails with [`Failure::Unconnected`] if
-    /// the body of the call isn't a JSON object.
+    /// Sends a call whose answer continues after `checkpoint`. Fails with [`Failure::Unconnected`]
+    /// if the body of the call isn't a JSON object.
     pub async fn resume(&self, call: &Call, checkpoint: &Checkpoint) -> Result<Reply, Failure> {
         let body = checkpoint.resume_body(&call.body);
         let body = body.ok_or_else(|| Failure::Unconnected {
--- a/components/engine/src/events.rs
+++ b/components/engine/src/events.rs
@@ -115,8 +115,8 @@
         Parser { id: id.to_string(), ..Parser::default() }
     }
 
-    /// Returns a parser for the stream in which another server continues the answer. Its first event
-    /// must follow the last event that was passed on.
+    /// Returns a parser for the stream in which another server continues the answer. Its first
+    /// event must follow the last event that was passed on.
     pub fn resumed(&self) -> Self {
         Parser { buffer: BytesMut::new(), searched: 0, ..self.clone() }
     }
@@ -154,14 +154,15 @@
         Ok(batch)
     }
 
-    /// Whether `[DONE]` arrived after a finish reason for each choice, so that the answer is complete.
+    /// Whether `[DONE]` arrived after a finish reason for each choice, so that the answer is
+    /// complete.
     pub fn is_done(&self) -> bool {
         self.done
     }
 
     /// Returns the number of the last event and the text so far, from which another server can
-    /// continue the answer. `None` if the server doesn't number its events or the answer has several
-    /// choices.
+    /// continue the answer. `None` if the server doesn't number its events or the answer has
+    /// several choices.
     pub fn checkpoint(&self) -> Option<(u64, &str)> {
         let single_choice = self.choices.len() <= 1;
         self.next_number.filter(|_| single_choice).map(|next| (next - 1, self.text.as_str()))
--- a/components/engine/src/orders.rs
+++ b/components/engine/src/orders.rs
@@ -25,8 +25,8 @@
         /// Phases of a request that the engine runs: `mixed` (both), `prefill` or `decode`.
         #[serde(default)]
         pub role: String,
-        /// Fencing token: in an order, its own; in an engine's content, that of the last order that the
-        /// engine accepted.
+        /// Fencing token: in an order, its own; in an engine's content, that of the last order that
+        /// the engine accepted.
         #[serde(default)]
         pub fence: Option<u64>,
         /// Number of bytes that the engine would load to carry out an order; 0 if it can't tell.
--- a/components/engine/tests/events.rs
+++ b/components/engine/tests/events.rs
@@ -51,8 +51,8 @@
 proptest! {
     #![proptest_config(config())]
 
-    /// An engine or the network may split a stream into chunks of any size. The caller must receive the
-    /// same bytes.
+    /// An engine or the network may split a stream into chunks of any size. The caller must receive
+    /// the same bytes.
     #[test]
     fn can_read_a_stream_in_any_pieces(
         count in 1usize..20,
@@ -65,8 +65,8 @@
         prop_assert_eq!(accepted, bytes);
     }
 
-    /// A stream that ends early, after any byte, must not count as complete, and only complete events
-    /// may be passed on.
+    /// A stream that ends early, after any byte, must not count as complete, and only complete
+    /// events may be passed on.
     #[test]
     fn can_tell_a_stream_that_ends_early(
         count in 1usize..20,
@@ -81,8 +81,8 @@
         prop_assert!(accepted.is_empty() || accepted.ends_with(b"\n\n"));
     }
 
-    /// If an engine skips an event, repeats one, or sends one of another request, the stream must end
-    /// in an error, and no wrong event may be passed on before.
+    /// If an engine skips an event, repeats one, or sends one of another request, the stream must
+    /// end in an error, and no wrong event may be passed on before.
     #[test]
     fn errors_on_a_stream_that_was_tampered_with(
         count in 3usize..20,
@@ -112,8 +112,8 @@
     }
 }
 
-/// If an engine never ends an event or its answer, the stream must fail before it fills the router's
-/// memory.
+/// If an engine never ends an event or its answer, the stream must fail before it fills the
+/// router's memory.
 #[test]
 fn errors_on_an_endless_event_or_answer() {
     let mut parser = Parser::new(REQUEST_ID);
