--- a/components/fleet/src/share.rs
+++ b/components/fleet/src/share.rs
@@ -50,7 +50,7 @@
         pub needs: Vec<Need>,
         /// Number of its requests in flight there.
         pub in_flight: u32,
-        /// Rank of the highest tier that is queued on it.
+        /// Rank of the highest tier that has requests queued at the node.
         pub waiting_tier: Option<u8>,
     }
 
@@ -70,7 +70,7 @@
         pub slots: u32,
         /// Number of requests that its peers have in flight there.
         pub peers_in_flight: u32,
-        /// Rank of the highest tier that is queued on a peer.
+        /// Rank of the highest tier that has requests queued at a peer.
         pub waiting_tier: Option<u8>,
     }
 }
--- a/components/forward/src/follow.rs
+++ b/components/forward/src/follow.rs
@@ -36,7 +36,8 @@
 /// Longest pause after all sources have failed, so that a store which is back is found within half a second.
 const MAX_PAUSE: Duration = Duration::from_millis(500);
 
-/// Starts the tasks; they end with the node.
+/// Starts a task that reads settings and servers from the sources, and for each other seed one that
+/// exchanges work with it. They end with the node.
 pub(crate) fn start<A: Adapter>(state: &Rc<State<A>>) {
     actix_rt::spawn(follow_sources(Rc::downgrade(state)));
     for seed in state.other_seeds() {
--- a/components/forward/src/gossip.rs
+++ b/components/forward/src/gossip.rs
@@ -75,7 +75,8 @@
     }
 }
 
-/// Starts the tasks; they end with the node.
+/// Starts the tasks that exchange reports: at a seed, one that polls each other seed and one that sums the
+/// reports; at another node, one that reports to a seed. They end with the node.
 pub(crate) fn start<A: Adapter>(state: &Rc<State<A>>) {
     if state.is_seed() {
         for seed in state.other_seeds() {
--- a/components/forward/src/gossip/table.rs
+++ b/components/forward/src/gossip/table.rs
@@ -311,7 +311,8 @@
     }
 
     /// Sums all reports again, at most once per [`REFRESH_INTERVAL`]. Drops reports older than `lifetime`.
-    /// `filter` removes from an engine's sum what needn't be sent to nodes, and is none if nothing remains.
+    /// `filter` removes from an engine's sum what needn't be sent to nodes, and returns none if nothing
+    /// remains.
     pub(crate) fn refresh(
         &mut self,
         lifetime: Duration,
--- a/components/forward/src/source.rs
+++ b/components/forward/src/source.rs
@@ -9,9 +9,10 @@
 //! a long list over a narrow link at once.
 //!
 //! A seed that has lost contact with the store asks the other seeds, then its delegate: one of the nodes
-//! that asked it recently. If all seeds run but have lost contact with the store, the other nodes give
-//! the delegates time to reach it before they read the store themselves, and then spread their reads by
-//! the size of the fleet. If no seed answers at all, a node reads the store at once.
+//! that asked it recently, which reads the store itself when the seeds can't serve it. If all seeds run but
+//! have lost contact with the store, the other nodes give the delegates time to reach it before they read
+//! the store themselves, and then spread their reads by the size of the fleet. If no seed answers at all, a
+//! node reads the store at once.
 
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
@@ -185,7 +186,8 @@
         self.current == 0 && self.fallback.is_some()
     }
 
-    /// Sets the next delegate, if this node is a seed that isn't using one.
+    /// Sets the next delegate, if this node is a seed that has neither selected its delegate, the source
+    /// after `order`, nor is probing its first source.
     pub(crate) fn set_delegate(&mut self, delegate: Option<SocketAddr>) {
         if self.is_seed && !self.is_probing_first() && self.current < self.order.len() {
             self.delegate = delegate;
--- a/components/policy/src/prefill.rs
+++ b/components/policy/src/prefill.rs
@@ -5,8 +5,8 @@
 //! as dozens of short ones. Without this, the server with the fewest requests is often the one with the most
 //! prefill ahead.
 //!
-//! The estimate adds up the prefill that is known to be queued and the wait beyond it that first tokens
-//! have shown.
+//! The estimate is the sum of two times: the prefill that is known to be queued, and the recent wait that
+//! the known queue doesn't explain. The second is derived from the times to the first tokens.
 
 use std::time::{Duration, Instant};
 
@@ -145,8 +145,8 @@
         self.last_own_first_token
     }
 
-    /// Recent wait of prompts of a priority or a higher one beyond what was known to be queued. Prompts of
-    /// lower priority are prefilled after them, so that those wait long tells nothing.
+    /// Recent wait that the known queue doesn't explain, of prompts of a priority or a higher one. Prompts
+    /// of lower priority are left out: they are prefilled later, so their waits say nothing about this one.
     fn recent_wait(&self, priority: u8, now: Instant) -> f64 {
         let up_to = self.waits.iter().take(usize::from(priority) + 1);
         up_to.map(|wait| wait.current(now)).fold(0.0, f64::max)
--- a/components/policy/src/scheduler.rs
+++ b/components/policy/src/scheduler.rs
@@ -98,7 +98,8 @@
         Self::default()
     }
 
-    /// The same, with a fixed seed for its random choices so that a run can be repeated.
+    /// A scheduler without classes, workspaces or servers, with a fixed seed for its random choices so that
+    /// a run can be repeated.
     ///
     /// ```
     /// let scheduler = policy::Scheduler::with_seed(7);
--- a/components/policy/src/server.rs
+++ b/components/policy/src/server.rs
@@ -49,7 +49,7 @@
     report: Option<Report>,
     /// Requests sent less requests ended since the report was made.
     net_change: i32,
-    /// Those sends and ends, as +1 and -1.
+    /// Recent sends and ends of requests, as +1 and -1.
     recent_changes: VecDeque<(Instant, i8)>,
     /// Seconds between tokens, averaged over this node's requests.
     observed_interval: Option<f64>,
--- a/components/router/src/engines.rs
+++ b/components/router/src/engines.rs
@@ -16,8 +16,8 @@
 const CHECK_INTERVAL: Duration = Duration::from_millis(500);
 /// Time for an engine to answer.
 const POLL_TIMEOUT: Duration = Duration::from_millis(500);
-/// Age of a report, in poll periods, from which on every node polls the engine: the node that should
-/// may be unable to reach it.
+/// Age of a report, in poll periods, from which on every node polls the engine: the one node that
+/// is to poll it may be unable to reach it.
 const OVERDUE_PERIODS: u32 = 4;
 
 /// Starts the task; it ends with the router.
--- a/components/router/src/relay.rs
+++ b/components/router/src/relay.rs
@@ -118,7 +118,7 @@
         log::warn!(request:% = id, attempt = attempt, cause = cause.as_str(); "attempt failed");
     }
 
-    /// Proof that nothing of the request was sent, if the error is one.
+    /// Proof that the attempt didn't run, if there is one.
     pub(crate) fn unsent(&self) -> Option<Unsent> {
         match self {
             AttemptError::Failure(failure) if failure.unsent() => Some(Unsent::vouch()),
--- a/components/wire/src/gossip.rs
+++ b/components/wire/src/gossip.rs
@@ -66,8 +66,8 @@
         /// Number of the asking node's latest report that the sums include; none if they include none.
         #[serde(rename = "n", default)]
         pub included: Option<u32>,
-        /// Sums over all nodes, for engines at which they changed; an empty one means that no load is
-        /// left.
+        /// Sums over all nodes, for engines at which they changed; a sum without any load means that no
+        /// load is left at the engine.
         #[serde(rename = "l", default)]
         pub loads: Vec<Load>,
         /// Parts of prompts that engines cached since the position.
