--- a/components/forward/src/attempt.rs
+++ b/components/forward/src/attempt.rs
@@ -56,10 +56,10 @@
 
 impl AttemptError {
     /// Proof that the attempt didn't run, if there is one.
-    pub(crate) fn unsent(&self) -> Option<Unsent> {
+    pub(crate) fn not_run_proof(&self) -> Option<Unsent> {
         match self {
             AttemptError::Unreached(_) | AttemptError::Misdirected | AttemptError::Declined(_) => {
-                Some(Unsent::vouch())
+                Some(Unsent::assume())
             }
             AttemptError::Lost(_)
             | AttemptError::OutOfOrder(_)
--- a/components/forward/src/serve.rs
+++ b/components/forward/src/serve.rs
@@ -136,7 +136,7 @@
         active.record_failure(sending.attempt(), &server, &error);
         let again = active.submission.end_attempt(error.ending());
         let timed_out = matches!(error, AttemptError::TimedOut);
-        let unsent = error.unsent();
+        let unsent = error.not_run_proof();
         if let AttemptError::ServerError(whole) = error {
             active.error_reply = Some(*whole);
         }
--- a/components/lifecycle/src/attempts.rs
+++ b/components/lifecycle/src/attempts.rs
@@ -38,13 +38,13 @@
     /// let waiting = Waiting::Queued(Request::new(ids::Request::new()).admit().queue());
     /// let lost = waiting.send().fail(None, Repeatable::if_idempotent(true)).unwrap();
     /// let proof = Repeatable::if_idempotent(true);
-    /// let declined = lost.send().fail(Some(Unsent::vouch()), proof).unwrap();
+    /// let declined = lost.send().fail(Some(Unsent::assume()), proof).unwrap();
     /// assert_eq!(declined.refuse(Reason::Full), Outcome::Unknown);
     /// ```
     pub fn refuse(self, reason: Reason) -> Outcome {
         match self {
-            Waiting::Queued(request) => request.not_run(reason),
-            Waiting::Requeued(request) => request.unknown(),
+            Waiting::Queued(request) => request.end_not_run(reason),
+            Waiting::Requeued(request) => request.end_unknown(),
         }
     }
 }
@@ -92,11 +92,11 @@
             (Sending::Sent(request), None, Some(proof)) => {
                 Ok(Waiting::Requeued(request.requeue(proof)))
             }
-            (Sending::Sent(request), None, None) => Err(request.unknown()),
+            (Sending::Sent(request), None, None) => Err(request.end_unknown()),
             (Sending::Resent(request), _, Some(proof)) => {
                 Ok(Waiting::Requeued(request.requeue(proof)))
             }
-            (Sending::Resent(request), _, None) => Err(request.unknown()),
+            (Sending::Resent(request), _, None) => Err(request.end_unknown()),
         }
     }
 
--- a/components/lifecycle/src/lib.rs
+++ b/components/lifecycle/src/lib.rs
@@ -4,7 +4,7 @@
 //! ```compile_fail
 //! use lifecycle::{Reason, Received, Request};
 //! let sent = Request::<Received>::new(ids::Request::new()).admit().queue().send();
-//! sent.not_run(Reason::Full); // a sent request may have run
+//! sent.end_not_run(Reason::Full); // a sent request may have run
 //! ```
 //!
 //! A request that is queued again after an attempt that may have run can't be called "not run" either:
@@ -13,7 +13,7 @@
 //! use lifecycle::{Reason, Received, Repeatable, Request};
 //! let sent = Request::<Received>::new(ids::Request::new()).admit().queue().send();
 //! let requeued = sent.requeue(Repeatable::if_idempotent(true).unwrap());
-//! requeued.not_run(Reason::Full);
+//! requeued.end_not_run(Reason::Full);
 //! ```
 //!
 //! Nor can a request be sent twice without a proof that this is allowed:
@@ -134,7 +134,7 @@
     }
 
     /// Ends the request before anything ran.
-    pub fn not_run(self, reason: Reason) -> Outcome {
+    pub fn end_not_run(self, reason: Reason) -> Outcome {
         Outcome::NotRun(reason)
     }
 }
@@ -146,7 +146,7 @@
     }
 
     /// Ends the request before anything ran.
-    pub fn not_run(self, reason: Reason) -> Outcome {
+    pub fn end_not_run(self, reason: Reason) -> Outcome {
         Outcome::NotRun(reason)
     }
 }
@@ -158,7 +158,7 @@
     }
 
     /// Ends the request before anything ran.
-    pub fn not_run(self, reason: Reason) -> Outcome {
+    pub fn end_not_run(self, reason: Reason) -> Outcome {
         Outcome::NotRun(reason)
     }
 }
@@ -170,7 +170,7 @@
     }
 
     /// Ends the request without a further attempt; an earlier one may have run.
-    pub fn unknown(self) -> Outcome {
+    pub fn end_unknown(self) -> Outcome {
         Outcome::Unknown
     }
 }
@@ -198,7 +198,7 @@
 impl Unsent {
     /// Creates the proof. Its caller guarantees that no byte was sent, or that the server answered "not
     /// run".
-    pub fn vouch() -> Self {
+    pub fn assume() -> Self {
         Unsent(())
     }
 }
@@ -225,7 +225,7 @@
     }
 
     /// Ends the request without an answer; it may have run.
-    pub fn unknown(self) -> Outcome {
+    pub fn end_unknown(self) -> Outcome {
         Outcome::Unknown
     }
 }
@@ -238,7 +238,7 @@
     }
 
     /// Ends the request without a further attempt; one of its attempts may have run.
-    pub fn unknown(self) -> Outcome {
+    pub fn end_unknown(self) -> Outcome {
         Outcome::Unknown
     }
 
--- a/components/router/src/keyed.rs
+++ b/components/router/src/keyed.rs
@@ -107,7 +107,7 @@
     error: Error,
 ) -> Answer {
     let id = lifecycle.id();
-    let outcome = lifecycle.not_run(Reason::NoServer);
+    let outcome = lifecycle.end_not_run(Reason::NoServer);
     relay::record_outcome(state, id, &payload.class.name, outcome);
     state.metrics.count_refusal(error.as_str());
     answer::error(id, outcome, &error, error.retry_after())
@@ -157,7 +157,7 @@
         Err(failure) => failure,
     };
     log::warn!(request:% = id, home = owner.name.as_str(), cause:% = failure; "owner of the key didn't answer");
-    let unsent = failure.unsent().then(Unsent::vouch);
+    let unsent = failure.unsent().then(Unsent::assume);
     let outcome = match sending.fail(unsent, None) {
         Ok(waiting) => waiting.refuse(Reason::NoServer),
         Err(outcome) => outcome,
--- a/components/router/src/relay.rs
+++ b/components/router/src/relay.rs
@@ -119,9 +119,9 @@
     }
 
     /// Proof that the attempt didn't run, if there is one.
-    pub(crate) fn unsent(&self) -> Option<Unsent> {
+    pub(crate) fn not_run_proof(&self) -> Option<Unsent> {
         match self {
-            AttemptError::Failure(failure) if failure.unsent() => Some(Unsent::vouch()),
+            AttemptError::Failure(failure) if failure.unsent() => Some(Unsent::assume()),
             _ => None,
         }
     }
@@ -205,7 +205,7 @@
         };
         state.metrics.count_failed_attempt(&payload.class.name);
         let requeued = submission.end_attempt(error.ending());
-        waiting = match sending.fail(error.unsent(), payload.repeatable()) {
+        waiting = match sending.fail(error.not_run_proof(), payload.repeatable()) {
             Ok(waiting) => waiting,
             Err(outcome) => return answer_unknown(&state, &payload, id, outcome),
         };
@@ -234,7 +234,7 @@
     };
     error.record(submission, call.id, call.attempt);
     let proof = Repeatable::if_idempotent(server.keyed && call.key.is_some());
-    if payload.class.idempotent || proof.is_none() || error.unsent().is_some() {
+    if payload.class.idempotent || proof.is_none() || error.not_run_proof().is_some() {
         return (sending, Err(error));
     }
     let sending = match sending.fail(None, proof) {
