--- a/components/driver/src/submission.rs
+++ b/components/driver/src/submission.rs
@@ -78,8 +78,8 @@
     }
 
     /// The scheduler's estimate for the engine that the request was sent to.
-    pub fn expected(&self) -> Option<Expected> {
-        self.driver.scheduler.borrow().expected(self.job)
+    pub fn estimates(&self) -> Option<Expected> {
+        self.driver.scheduler.borrow().estimates(self.job)
     }
 
     /// Waits until the scheduler stops the attempt; never returns if it doesn't.
--- a/components/forward/src/limits.rs
+++ b/components/forward/src/limits.rs
@@ -39,7 +39,7 @@
     /// how many requests it may be sent. So many `issuers` share each limit equally.
     pub(crate) fn issue(&self, issuers: f64, nodes: usize, now: Instant) -> Vec<(u32, u32)> {
         let throttle = self.throttle.borrow();
-        self.issuer.borrow_mut().issue(throttle.all(), issuers, nodes, now)
+        self.issuer.borrow_mut().issue(throttle.limits(), issuers, nodes, now)
     }
 }
 
@@ -95,7 +95,7 @@
     }
     let registry = state.registry.borrow();
     let mut scheduler = state.driver.scheduler.borrow_mut();
-    for limit in state.rate_limits.throttle.borrow().all() {
+    for limit in state.rate_limits.throttle.borrow().limits() {
         if let Some(server) = registry.server_by_wire_key(limit.server) {
             scheduler.set_rate_limited(server, limit.rate.is_some());
         }
--- a/components/forward/src/serve.rs
+++ b/components/forward/src/serve.rs
@@ -171,7 +171,7 @@
                     self.stats.sent = Some(self.state.elapsed_since(self.received.arrived));
                     self.stats.sends += 1;
                     self.sent = self.state.clock.now();
-                    self.stats.expected = self.submission.expected();
+                    self.stats.expected = self.submission.estimates();
                     return Ok(server);
                 }
                 None if self.submission.end_attempt(Ending::Unreached) => {}
--- a/components/policy/src/admit.rs
+++ b/components/policy/src/admit.rs
@@ -44,7 +44,7 @@
         let terms = self.classes.get(class);
         let tier = terms.map_or(u8::MAX, |class| class.tier);
         let priority = terms.map_or(u8::MAX, |class| class.priority);
-        let pool = self.pool_for(&request, now);
+        let pool = self.get_or_create_pool(&request, now);
         let jitter = self.jitter.next();
         self.pools[pool].jobs += 1;
         if let Some(unserved) = self.unserved.get_mut(class) {
--- a/components/policy/src/backlog.rs
+++ b/components/policy/src/backlog.rs
@@ -65,7 +65,7 @@
 
     /// Cached prompt parts to report to other nodes.
     pub fn cache_updates(&mut self, now: Instant) -> Vec<Cached> {
-        self.prefixes.updates(now)
+        self.prefixes.parts_to_report(now)
     }
 
     /// Takes in the cached prompt parts that other nodes reported.
--- a/components/policy/src/cache.rs
+++ b/components/policy/src/cache.rs
@@ -78,7 +78,7 @@
     }
 
     /// Parts to report to other nodes.
-    pub(crate) fn updates(&mut self, now: Instant) -> Vec<Cached> {
+    pub(crate) fn parts_to_report(&mut self, now: Instant) -> Vec<Cached> {
         self.drop_old_updates(now);
         self.updates.iter().map(|(_, cached)| *cached).collect()
     }
--- a/components/policy/src/cache/tests.rs
+++ b/components/policy/src/cache/tests.rs
@@ -78,11 +78,11 @@
         index.record_prefill(&request, one, now + Duration::from_millis(n));
     }
     let update = Cached { server: one, part: LONG };
-    assert_eq!(index.updates(now + Duration::from_millis(100)), [update]);
-    assert!(index.updates(now + REPORTED_FOR).is_empty());
+    assert_eq!(index.parts_to_report(now + Duration::from_millis(100)), [update]);
+    assert!(index.parts_to_report(now + REPORTED_FOR).is_empty());
     index.apply_update(update, now + REPORT_AGAIN_AFTER);
     index.record_prefill(&request, one, now + REPORT_AGAIN_AFTER + Duration::from_millis(1));
-    assert!(index.updates(now + REPORT_AGAIN_AFTER + Duration::from_millis(2)).is_empty());
+    assert!(index.parts_to_report(now + REPORT_AGAIN_AFTER + Duration::from_millis(2)).is_empty());
 }
 
 /// In a node that is set to report nothing, old updates are dropped, or they would fill its memory.
--- a/components/policy/src/dispatch.rs
+++ b/components/policy/src/dispatch.rs
@@ -76,7 +76,7 @@
         self.link_budget.refill(self.limits.link_bytes as f64, now);
         for key in self.pools.keys().collect::<Vec<_>>() {
             self.update_isolation(key, now);
-            self.update_capacity(key);
+            self.update_pool_statistics(key);
             if self.switches.is_on(Mechanism::EarlyRefusal) {
                 self.refuse_late(key, now);
             }
@@ -95,7 +95,7 @@
     }
 
     /// Updates a pool's token rate, and its median times between tokens and to the first token.
-    pub(crate) fn update_capacity(&mut self, key: Key) {
+    pub(crate) fn update_pool_statistics(&mut self, key: Key) {
         let waiting = |pool: Key| pool == key || self.pools[pool].waiting() > 0;
         let users: Vec<_> = self.pools.keys().filter(|pool| waiting(*pool)).collect();
         let (mut rate, mut intervals, mut firsts) = (0.0, vec![], vec![]);
--- a/components/policy/src/quota.rs
+++ b/components/policy/src/quota.rs
@@ -45,7 +45,7 @@
     }
 
     /// Sets how many requests of a workspace may be in flight on this node.
-    pub fn set_in_flight(&mut self, workspace: ids::Workspace, limit: u32) {
+    pub fn set_in_flight_limit(&mut self, workspace: ids::Workspace, limit: u32) {
         let Some(terms) = self.workspaces.get_mut(workspace) else { return };
         if terms.in_flight != limit {
             terms.in_flight = limit;
--- a/components/policy/src/scheduler.rs
+++ b/components/policy/src/scheduler.rs
@@ -267,7 +267,7 @@
 
     /// Estimates for the engine that a request was last sent to; none if it wasn't sent yet, or if the
     /// prefill rates in its pool are unknown.
-    pub fn expected(&self, job: ids::Job) -> Option<Expected> {
+    pub fn estimates(&self, job: ids::Job) -> Option<Expected> {
         self.jobs.get(job)?.expected
     }
 
@@ -329,7 +329,7 @@
     }
 
     /// The pool of a request's model and allowed servers, created if needed.
-    pub(crate) fn pool_for(&mut self, request: &Request, now: Instant) -> Key {
+    pub(crate) fn get_or_create_pool(&mut self, request: &Request, now: Instant) -> Key {
         let allowed = self.workspaces.get(request.workspace).map(|w| w.servers.clone());
         let allowed = allowed.unwrap_or_default();
         if let Some(key) = self.pool_index.get(&(request.model, allowed.clone())) {
@@ -341,7 +341,7 @@
         let key = self.pools.insert(pool);
         self.pool_index.insert((request.model, allowed), key);
         self.update_isolation(key, now);
-        self.update_capacity(key);
+        self.update_pool_statistics(key);
         key
     }
 
--- a/components/policy/src/throttle.rs
+++ b/components/policy/src/throttle.rs
@@ -109,9 +109,9 @@
     /// All recorded limits, those that ended included.
     ///
     /// ```
-    /// assert_eq!(policy::Throttle::default().all().count(), 0);
+    /// assert_eq!(policy::Throttle::default().limits().count(), 0);
     /// ```
-    pub fn all(&self) -> impl Iterator<Item = RateLimit> {
+    pub fn limits(&self) -> impl Iterator<Item = RateLimit> {
         self.limits.values().map(|(limit, _)| *limit)
     }
 
--- a/components/policy/tests/engines.rs
+++ b/components/policy/tests/engines.rs
@@ -193,7 +193,7 @@
     report_peer_backlog(&mut fixture, preferred, 4.0, 0.0);
     let (job, other) = send(&mut fixture, DRAFT, 7);
     assert_ne!(other, preferred);
-    let expected = fixture.scheduler.expected(job).unwrap();
+    let expected = fixture.scheduler.estimates(job).unwrap();
     assert_eq!(expected.fetch, Some(preferred));
     // The 3,000 tokens of its own, without the 6,000 of the prefix.
     assert!(expected.prefill < Duration::from_millis(60), "{expected:?}");
@@ -212,7 +212,7 @@
     report_peer_backlog(&mut fixture, preferred, 0.5, 5.0);
     let (job, other) = send(&mut fixture, DRAFT, 7);
     assert_ne!(other, preferred);
-    assert_eq!(fixture.scheduler.expected(job).unwrap().fetch, None);
+    assert_eq!(fixture.scheduler.estimates(job).unwrap().fetch, None);
 }
 
 /// Engines that are added under load become the preferred ones of some sessions, by the hash of their names, but
--- a/components/policy/tests/priority.rs
+++ b/components/policy/tests/priority.rs
@@ -38,7 +38,7 @@
     let mut crowded = 0;
     for session in 0..40 {
         let (job, server) = send(&mut fixture, STEADY, session);
-        let expected = fixture.scheduler.expected(job).unwrap();
+        let expected = fixture.scheduler.estimates(job).unwrap();
         assert!(expected.overdue < Duration::from_millis(100), "{expected:?}");
         crowded += usize::from(server == fixture.servers[0]);
     }
@@ -94,7 +94,7 @@
     fixture.scheduler.set_backlogs(&[backlog], fixture.now);
     let (job, other) = send(&mut fixture, DRAFT, 7);
     assert_ne!(other, preferred);
-    assert_eq!(fixture.scheduler.expected(job).unwrap().fetch, Some(preferred));
+    assert_eq!(fixture.scheduler.estimates(job).unwrap().fetch, Some(preferred));
 }
 
 /// A report that nothing waits at an engine.
@@ -134,7 +134,7 @@
             .collect();
         fixture.scheduler.set_backlogs(&backlogs, fixture.now);
         let (job, server) = send(&mut fixture, class, 7);
-        let expected = fixture.scheduler.expected(job).unwrap();
+        let expected = fixture.scheduler.estimates(job).unwrap();
         let backlog = backlogs.iter().find(|backlog| backlog.server == server).unwrap();
         let prefill: f64 = backlog.prefill[..=class].iter().sum();
         let overdue = backlog.overdue[..=class].iter().copied().fold(0.0, f64::max);
--- a/components/policy/tests/slots.rs
+++ b/components/policy/tests/slots.rs
@@ -125,7 +125,7 @@
         for session in 0..20 {
             let (job, server) = send(&mut fixture, STEADY, session);
             let index = fixture.servers.iter().position(|key| *key == server).unwrap();
-            let expected = fixture.scheduler.expected(job);
+            let expected = fixture.scheduler.estimates(job);
             prop_assert!(!full[index], "engine {index} of {full:?}, {expected:?}");
         }
     }
--- a/components/router/src/shares.rs
+++ b/components/router/src/shares.rs
@@ -73,6 +73,6 @@
         let pool = Pool::new(name, workspace.in_flight, since_1970);
         // At least one, so that no caller waits for the next exchange. The limit may be exceeded by at
         // most one request for each node.
-        scheduler.set_in_flight(key, pool.share(&claimed, need, &peers).slots.max(1));
+        scheduler.set_in_flight_limit(key, pool.share(&claimed, need, &peers).slots.max(1));
     }
 }
