--- a/components/forward/src/crossing.rs
+++ b/components/forward/src/crossing.rs
@@ -35,7 +35,7 @@
     }
 
     /// Counts the bytes of a request to an engine.
-    pub(crate) fn record_sent(&self, bytes: usize, now: Instant) {
+    pub(crate) fn record_request_bytes(&self, bytes: usize, now: Instant) {
         let recent = self.decayed_bytes(now);
         *self.bytes.borrow_mut() = (recent + bytes as f64, now);
     }
--- a/components/forward/src/crossing/tests.rs
+++ b/components/forward/src/crossing/tests.rs
@@ -22,7 +22,7 @@
     let crossing = Crossing::new(now);
     for _ in 0..4_000 {
         now += Duration::from_millis(10);
-        crossing.record_sent(18 << 10, now);
+        crossing.record_request_bytes(18 << 10, now);
     }
     let rate = crossing.kib_per_s(now);
     assert!((1_600..2_000).contains(&rate), "{rate}");
--- a/components/forward/src/follow.rs
+++ b/components/forward/src/follow.rs
@@ -82,7 +82,7 @@
                 sources.set_delegate(state.delegates.pick_candidate());
                 if sources.record_failure(classify_failure(&cause), context, state.clock.now()) {
                     failed_rounds += 1;
-                    let pause = if sources.is_starting() {
+                    let pause = if sources.awaits_first_answer() {
                         jittered(STARTUP_PAUSE)
                     } else {
                         pause_after(failed_rounds)
--- a/components/forward/src/gossip.rs
+++ b/components/forward/src/gossip.rs
@@ -95,7 +95,7 @@
     let (mut suspect_cursor, mut limit_cursor) = (Cursor::default(), Cursor::default());
     while let Some(state) = weak.upgrade() {
         let asked = state.clock.now();
-        let Some(seed) = seeds.nearest(asked) else {
+        let Some(seed) = seeds.select(asked) else {
             crate::limits::issue_without_seeds(&state);
             drop(state);
             tokio::time::sleep(MIN_REPORT_PAUSE).await;
@@ -200,7 +200,10 @@
 }
 
 /// Answers the report of a node or another seed.
-pub(crate) async fn handle<A: Adapter>(state: &Rc<State<A>>, mut request: Request) -> Answer {
+pub(crate) async fn answer_report<A: Adapter>(
+    state: &Rc<State<A>>,
+    mut request: Request,
+) -> Answer {
     let from_seed = request.path() == SEED_PATH;
     let body = match listen::read_body(&mut request, MAX_REPORT_BYTES).await {
         Ok(body) => body,
@@ -224,10 +227,16 @@
     } else {
         aggregate.fleet_summary(&from, known, now)
     };
-    summary =
-        suspects::add_to_summary(state, (&suspects, suspects_known), known, from_seed, summary);
+    summary = suspects::merge_and_add_to_summary(
+        state,
+        (&suspects, suspects_known),
+        known,
+        from_seed,
+        summary,
+    );
     let permits = if from_seed { vec![] } else { issue_permits(state) };
-    summary = limits::add_to_summary(state, (&limits, limits_known), known, summary, permits);
+    summary =
+        limits::merge_and_add_to_summary(state, (&limits, limits_known), known, summary, permits);
     summary.pause_ms = state.gossip.pace.borrow().pause(aggregate.node_count()).as_millis() as u32;
     let body = summary.encode();
     if !from_seed && !summary.complete {
--- a/components/forward/src/gossip/limits.rs
+++ b/components/forward/src/gossip/limits.rs
@@ -44,7 +44,7 @@
 
 /// Merges the limits that a node or another seed reports, and adds to the answer those that it may not have.
 /// `permits` are for nodes only; a seed gets none.
-pub(super) fn add_to_summary<A: Adapter>(
+pub(super) fn merge_and_add_to_summary<A: Adapter>(
     state: &State<A>,
     (reported, known): (&[Limit], u64),
     at: Option<Position>,
--- a/components/forward/src/gossip/seeds.rs
+++ b/components/forward/src/gossip/seeds.rs
@@ -34,7 +34,7 @@
 
     /// The seed to report to: one that has fewer than [`PROBES`] answers, else the nearest. Seeds that didn't
     /// answer come last, the one that is tried again first before the others; none if there are no seeds.
-    pub(crate) fn nearest(&self, now: Instant) -> Option<SocketAddr> {
+    pub(crate) fn select(&self, now: Instant) -> Option<SocketAddr> {
         let order = |seed: &&Seed| {
             let unresponsive = seed.retry_at.filter(|until| now < *until);
             (unresponsive, seed.answers.min(PROBES), seed.latency)
--- a/components/forward/src/gossip/seeds/tests.rs
+++ b/components/forward/src/gossip/seeds/tests.rs
@@ -11,21 +11,21 @@
     let [far, near, gone] = [1, 2, 3].map(address);
     let (mut seeds, now) = (Seeds::new(vec![far, near, gone]), Instant::now());
     for (seed, millis) in [(far, Some(16)), (near, Some(2)), (gone, None)] {
-        assert_eq!(seeds.nearest(now), Some(seed), "each is tried once");
+        assert_eq!(seeds.select(now), Some(seed), "each is tried once");
         seeds.record_answer(seed, millis.map(Duration::from_millis), now);
     }
     for (seed, millis) in [(near, 2), (far, 16)].repeat(PROBES as usize - 1) {
-        assert_eq!(seeds.nearest(now), Some(seed), "each is tried as often");
+        assert_eq!(seeds.select(now), Some(seed), "each is tried as often");
         seeds.record_answer(seed, Some(Duration::from_millis(millis)), now);
     }
-    assert_eq!(seeds.nearest(now), Some(near));
+    assert_eq!(seeds.select(now), Some(near));
     seeds.record_answer(near, None, now);
-    assert_eq!(seeds.nearest(now), Some(far));
+    assert_eq!(seeds.select(now), Some(far));
     seeds.record_answer(far, None, now + Duration::from_millis(1));
-    assert_eq!(seeds.nearest(now), Some(gone), "the one that is due for a retry first");
+    assert_eq!(seeds.select(now), Some(gone), "the one that is due for a retry first");
     let later = now + RETRY_AFTER;
     seeds.record_answer(gone, None, later);
-    assert_eq!(seeds.nearest(later), Some(near), "tried again");
+    assert_eq!(seeds.select(later), Some(near), "tried again");
 }
 
 /// A whole fleet starts at once. The seed of a node's own region is still starting, and its first answer takes
@@ -37,7 +37,7 @@
     let [near, far] = [1, 2].map(address);
     let (mut seeds, now) = (Seeds::new(vec![near, far]), Instant::now());
     for call in 0..PROBES * 2 {
-        let seed = seeds.nearest(now).expect("there are seeds");
+        let seed = seeds.select(now).expect("there are seeds");
         let millis = if seed == far {
             16
         } else if call < 2 {
@@ -47,5 +47,5 @@
         };
         seeds.record_answer(seed, Some(Duration::from_millis(millis)), now);
     }
-    assert_eq!(seeds.nearest(now), Some(near));
+    assert_eq!(seeds.select(now), Some(near));
 }
--- a/components/forward/src/gossip/suspects.rs
+++ b/components/forward/src/gossip/suspects.rs
@@ -40,7 +40,7 @@
 }
 
 /// Merges the evidence that a node or another seed reports, and adds to the answer what it may not have.
-pub(super) fn add_to_summary<A: Adapter>(
+pub(super) fn merge_and_add_to_summary<A: Adapter>(
     state: &State<A>,
     (suspects, known): (&[Suspect], u64),
     at: Option<Position>,
--- a/components/forward/src/intake.rs
+++ b/components/forward/src/intake.rs
@@ -78,7 +78,7 @@
     let body = body.map_err(|_| Error::BodyTimeout)??;
     listen::mark_body_received(&head);
     if call.prompt.tokens > 0 {
-        state.crossing.record_sent(body.len(), state.clock.now());
+        state.crossing.record_request_bytes(body.len(), state.clock.now());
     }
     let request = scheduler_request(state, &settings, &call, &found, arrived, time_limit)?;
     let fingerprint = fingerprint(&head, &call, &found, &body);
@@ -177,8 +177,11 @@
     let service = found.route.service(session).ok_or(Error::NoRoute)?;
     let mut registry = state.registry.borrow_mut();
     let model = registry.requested_model(service, call.model.as_deref());
-    let (class, workspace) =
-        registry.class_and_workspace(&mut state.driver.scheduler.borrow_mut(), settings, found);
+    let (class, workspace) = registry.register_class_and_workspace(
+        &mut state.driver.scheduler.borrow_mut(),
+        settings,
+        found,
+    );
     let time_left = time_limit.saturating_sub(state.elapsed_since(arrived));
     Ok(policy::Request {
         class,
--- a/components/forward/src/registry.rs
+++ b/components/forward/src/registry.rs
@@ -143,7 +143,7 @@
     }
 
     /// Keys of a request's class and workspace, which are registered with the scheduler if they are new.
-    pub(crate) fn class_and_workspace(
+    pub(crate) fn register_class_and_workspace(
         &mut self,
         scheduler: &mut Scheduler,
         settings: &Settings,
--- a/components/forward/src/serve.rs
+++ b/components/forward/src/serve.rs
@@ -127,7 +127,7 @@
         };
         let sending = waiting.send();
         let error = match active
-            .attempt(sending.attempt(), &server, active.received.call.last_event_id)
+            .send_attempt(sending.attempt(), &server, active.received.call.last_event_id)
             .await
         {
             Ok(reply) => return active.relay(sending, reply),
@@ -182,7 +182,7 @@
 
     /// Sends attempt `number` and waits for the start of its answer until the request's time is over.
     /// An attempt that another one may follow is abandoned earlier, after [`STALL_TARGETS`].
-    pub(crate) async fn attempt(
+    pub(crate) async fn send_attempt(
         &mut self,
         number: u32,
         server: &Entry,
--- a/components/forward/src/source.rs
+++ b/components/forward/src/source.rs
@@ -160,7 +160,7 @@
     }
 
     /// Whether no source has answered since the start.
-    pub(crate) fn is_starting(&self) -> bool {
+    pub(crate) fn awaits_first_answer(&self) -> bool {
         !self.has_read
     }
 
--- a/components/forward/src/stream.rs
+++ b/components/forward/src/stream.rs
@@ -158,7 +158,7 @@
             }
             let Ok(server) = self.active.wait_for_server().await else { break };
             life = life.pause(proof).resume();
-            error = match self.active.attempt(life.attempt(), &server, last).await {
+            error = match self.active.send_attempt(life.attempt(), &server, last).await {
                 Ok(Reply::Partial(reply)) => {
                     self.reply = Some(reply);
                     self.life = Some(life);
--- a/components/forward/src/updates.rs
+++ b/components/forward/src/updates.rs
@@ -122,7 +122,7 @@
     if request.method() == Method::POST
         && [gossip::NODE_PATH, gossip::SEED_PATH].contains(&path.as_str())
     {
-        return gossip::handle(&state, request).await;
+        return gossip::answer_report(&state, request).await;
     }
     if request.method() != Method::POST || ![UPDATES_PATH, WORK_PATH].contains(&path.as_str()) {
         return status(StatusCode::NOT_FOUND);
