--- a/components/configuration/src/client.rs
+++ b/components/configuration/src/client.rs
@@ -50,7 +50,7 @@
         Client { service, address, http: awc::Client::default(), secret: None }
     }
 
-    pub(crate) fn unavailable(&self, cause: impl ToString) -> Error {
+    pub(crate) fn unavailable_error(&self, cause: impl ToString) -> Error {
         Error::Unavailable {
             service: self.service,
             address: self.address,
@@ -58,7 +58,7 @@
         }
     }
 
-    pub(crate) fn malformed(&self, what: impl ToString) -> Error {
+    pub(crate) fn malformed_error(&self, what: impl ToString) -> Error {
         Error::Malformed { service: self.service, what: what.to_string() }
     }
 
@@ -73,27 +73,28 @@
         if let Some((name, secret)) = &self.secret {
             request = request.insert_header((*name, secret.clone()));
         }
-        let mut response = request.send().await.map_err(|e| self.unavailable(e))?;
+        let mut response = request.send().await.map_err(|e| self.unavailable_error(e))?;
         match response.status().as_u16() {
             200 => {
                 let body = response
                     .body()
                     .limit(MAX_VALUE_BYTES)
                     .await
-                    .map_err(|e| self.unavailable(e))?;
+                    .map_err(|e| self.unavailable_error(e))?;
                 Ok(Some(body.to_vec()))
             }
             304 => Ok(None),
-            status => Err(self.malformed(format!("status {status}"))),
+            status => Err(self.malformed_error(format!("status {status}"))),
         }
     }
 
     /// Reads the value with the digest `expected` below `prefix`, and checks the digest.
-    pub(crate) async fn value(&self, prefix: &str, expected: &str) -> Result<String, Error> {
+    pub(crate) async fn read_value(&self, prefix: &str, expected: &str) -> Result<String, Error> {
         let body = self.get(&format!("{prefix}{expected}"), READ_TIMEOUT).await?;
-        let text = String::from_utf8(body.unwrap_or_default()).map_err(|e| self.malformed(e))?;
+        let text =
+            String::from_utf8(body.unwrap_or_default()).map_err(|e| self.malformed_error(e))?;
         if digest(&text) != expected {
-            return Err(self.malformed(format!("a value that isn't {expected}")));
+            return Err(self.malformed_error(format!("a value that isn't {expected}")));
         }
         Ok(text)
     }
@@ -120,18 +121,18 @@
         let Some(body) = self.client.get(&path, WATCH_DURATION + READ_TIMEOUT).await? else {
             return Ok(None);
         };
-        serde_json::from_slice(&body).map(Some).map_err(|e| self.client.malformed(e))
+        serde_json::from_slice(&body).map(Some).map_err(|e| self.client.malformed_error(e))
     }
 
     /// Reads the current manifest.
     pub async fn read(&self) -> Result<Manifest, Error> {
         let body = self.client.get(MANIFEST_PATH, READ_TIMEOUT).await?.unwrap_or_default();
-        serde_json::from_slice(&body).map_err(|e| self.client.malformed(e))
+        serde_json::from_slice(&body).map_err(|e| self.client.malformed_error(e))
     }
 
     /// Reads the value with the digest `expected` and checks the digest.
-    pub async fn value(&self, expected: &str) -> Result<String, Error> {
-        self.client.value(VALUE_PATH, expected).await
+    pub async fn read_value(&self, expected: &str) -> Result<String, Error> {
+        self.client.read_value(VALUE_PATH, expected).await
     }
 }
 
@@ -150,6 +151,6 @@
     /// Reads the published list, which lags behind the VMs that exist.
     pub async fn read(&self) -> Result<Vec<Vm>, Error> {
         let body = self.client.get(VMS_PATH, READ_TIMEOUT).await?.unwrap_or_default();
-        serde_json::from_slice(&body).map_err(|e| self.client.malformed(e))
+        serde_json::from_slice(&body).map_err(|e| self.client.malformed_error(e))
     }
 }
--- a/components/configuration/src/peer.rs
+++ b/components/configuration/src/peer.rs
@@ -93,8 +93,8 @@
     }
 
     /// Reads the value with the digest `expected` and checks the digest.
-    pub async fn value(&self, expected: &str) -> Result<String, Error> {
-        self.client.value(VALUE_PATH, expected).await
+    pub async fn read_value(&self, expected: &str) -> Result<String, Error> {
+        self.client.read_value(VALUE_PATH, expected).await
     }
 
     async fn update(
@@ -103,6 +103,6 @@
         timeout: std::time::Duration,
     ) -> Result<Option<Update>, Error> {
         let Some(body) = self.client.get(path, timeout).await? else { return Ok(None) };
-        serde_json::from_slice(&body).map(Some).map_err(|e| self.client.malformed(e))
+        serde_json::from_slice(&body).map(Some).map_err(|e| self.client.malformed_error(e))
     }
 }
--- a/components/router/src/relay.rs
+++ b/components/router/src/relay.rs
@@ -49,7 +49,7 @@
 }
 
 impl Payload {
-    pub(crate) fn call(&self, id: ids::Request, attempt: u32, server: &Server) -> Call {
+    pub(crate) fn build_call(&self, id: ids::Request, attempt: u32, server: &Server) -> Call {
         Call {
             id,
             attempt,
@@ -227,7 +227,7 @@
     sending: Sending,
     server: &Server,
 ) -> (Sending, Result<ReadyReply, AttemptError>) {
-    let call = payload.call(sending.id(), sending.attempt(), server);
+    let call = payload.build_call(sending.id(), sending.attempt(), server);
     let error = match make_attempt(submission, payload, &call).await {
         Ok(reply) => return (sending, Ok(reply)),
         Err(error) => error,
@@ -241,7 +241,7 @@
         Ok(waiting) => waiting.send(),
         Err(_) => unreachable!("a proof was given"),
     };
-    let call = payload.call(sending.id(), sending.attempt(), server);
+    let call = payload.build_call(sending.id(), sending.attempt(), server);
     let ended = make_attempt(submission, payload, &call).await;
     if let Err(error) = &ended {
         error.record(submission, call.id, call.attempt);
--- a/components/router/src/revisions/apply.rs
+++ b/components/router/src/revisions/apply.rs
@@ -35,10 +35,10 @@
 }
 
 impl Source {
-    async fn value(&self, digest: &str) -> Result<String, configuration::Error> {
+    async fn read_value(&self, digest: &str) -> Result<String, configuration::Error> {
         match self {
-            Source::Service(service) => service.value(digest).await,
-            Source::Peer(peer) => peer.value(digest).await,
+            Source::Service(service) => service.read_value(digest).await,
+            Source::Peer(peer) => peer.read_value(digest).await,
         }
     }
 
@@ -70,7 +70,7 @@
 
 /// Compares an offered revision with the known ones and records the result; returns whether to apply
 /// it.
-pub(super) fn check_offered(state: &State, offered: RevisionId, by: &str) -> bool {
+pub(super) fn check_offered_revision(state: &State, offered: RevisionId, by: &str) -> bool {
     let revisions = &state.revisions;
     let verdict = revisions.mark.borrow().classify(offered);
     let events = &state.metrics.settings;
@@ -101,7 +101,7 @@
     manifest: &Manifest,
 ) -> Result<(), Fault> {
     let offered = manifest_revision(manifest);
-    if !check_offered(state, offered, &source.label()) {
+    if !check_offered_revision(state, offered, &source.label()) {
         return Ok(());
     }
     let current = state.settings();
@@ -112,7 +112,7 @@
             match known {
                 Some(known) => Ok(known),
                 None => {
-                    let text = source.value(&listed.digest).await?;
+                    let text = source.read_value(&listed.digest).await?;
                     Ok(Rc::new(Part::parse(&listed.name, &text)))
                 }
             }
@@ -138,7 +138,7 @@
 
 fn apply_delta(state: &Rc<State>, source: &Source, delta: Delta) -> Result<(), Fault> {
     let offered = RevisionId { revision: delta.revision, digest: delta.digest };
-    if !check_offered(state, offered, &source.label()) {
+    if !check_offered_revision(state, offered, &source.label()) {
         return Ok(());
     }
     let Some(current) = state.settings() else { return Err(Fault::FalseClaim) };
--- a/components/router/src/revisions/follow.rs
+++ b/components/router/src/revisions/follow.rs
@@ -248,7 +248,7 @@
         let older = known_revision(state).revision > offered.revision;
         // A peer that is behind needs no action here: it catches up by itself.
         if !older
-            && apply::check_offered(state, offered, name)
+            && apply::check_offered_revision(state, offered, name)
             && state.revisions.is_trusted(address, now)
         {
             higher.push((offered, address));
--- a/components/router/src/stream.rs
+++ b/components/router/src/stream.rs
@@ -169,7 +169,7 @@
             let server = self.submission.wait_for_server().await;
             let Some(server) = server.ok().filter(|server| server.resumes) else { break };
             lifecycle = lifecycle.pause(proof).resume();
-            let call = self.payload.call(lifecycle.id(), lifecycle.attempt(), &server);
+            let call = self.payload.build_call(lifecycle.id(), lifecycle.attempt(), &server);
             error = match self.request_resumption(&call, &point).await {
                 Ok(source) => {
                     self.source = source;
