--- a/components/catalog/src/settings.rs
+++ b/components/catalog/src/settings.rs
@@ -75,7 +75,12 @@
     ///
     /// # Errors
     /// When no route matches, or no workspace has the key.
-    pub fn find(&self, host: &str, path: &str, key: Option<&str>) -> Result<Match, Denied> {
+    pub fn match_request(
+        &self,
+        host: &str,
+        path: &str,
+        key: Option<&str>,
+    ) -> Result<Match, Denied> {
         let host = host.rsplit_once(':').map_or(host, |(name, _)| name).to_ascii_lowercase();
         let routes = self.hosts.get(&host).ok_or(Denied::NoRoute)?;
         let route = routes.iter().find(|route| path.starts_with(&route.prefix));
--- a/components/catalog/tests/settings.rs
+++ b/components/catalog/tests/settings.rs
@@ -42,8 +42,9 @@
 fn the_longest_prefix_decides() {
     let settings =
         settings(vec![route("all", "/", 2), route("a", "/a/", 2), route("ab", "/a/b/", 2)]);
-    let name =
-        |host, path| settings.find(host, path, Some("k1")).map(|found| found.route.name.clone());
+    let name = |host, path| {
+        settings.match_request(host, path, Some("k1")).map(|found| found.route.name.clone())
+    };
     assert_eq!(name("desk.example", "/a/b/c"), Ok("ab".to_string()));
     assert_eq!(name("Desk.Example:80", "/a/bc"), Ok("a".to_string()));
     assert_eq!(name("desk.example", "/a"), Ok("all".to_string()));
@@ -55,7 +56,7 @@
 fn keys_find_their_workspace() {
     let settings = settings(vec![route("a", "/a/", 2), route("open", "/open/", 2)]);
     let workspace =
-        |path, key| settings.find("desk.example", path, key).map(|found| found.workspace);
+        |path, key| settings.match_request("desk.example", path, key).map(|found| found.workspace);
     assert_eq!(workspace("/a/", Some("k2")).unwrap().unwrap().name, "choir");
     assert_eq!(workspace("/a/", Some("k3")).unwrap().unwrap().name, "radio");
     assert_eq!(workspace("/a/", Some("k9")), Err(Denied::UnknownKey));
@@ -69,7 +70,7 @@
 #[test]
 fn tiers_order_by_workspace_and_priorities_by_route() {
     let settings = settings(vec![route("steady", "/s/", 0), route("draft", "/d/", 2)]);
-    let found = |path, key| settings.find("desk.example", path, Some(key)).unwrap();
+    let found = |path, key| settings.match_request("desk.example", path, Some(key)).unwrap();
     let (high_tier, other) = (found("/d/", "k3"), found("/s/", "k1"));
     assert!(high_tier.tier() < other.tier());
     assert!(high_tier.priority() > other.priority());
--- a/components/forward/src/intake.rs
+++ b/components/forward/src/intake.rs
@@ -116,7 +116,7 @@
     settings: &Settings,
     call: &Call,
 ) -> Result<Match, Error> {
-    let found = settings.find(&call.host, &call.path, call.key.as_deref());
+    let found = settings.match_request(&call.host, &call.path, call.key.as_deref());
     let fresh = state.is_fresh();
     match found {
         Ok(found) if found.workspace.is_none() || fresh => Ok(found),
--- a/components/listen/src/error.rs
+++ b/components/listen/src/error.rs
@@ -56,7 +56,7 @@
 /// The bytes to write in place of a response that the HTTP library made by itself; `None` if the
 /// response is the handler's. The library's has no request id, outcome or body, so a caller could
 /// neither tell what went wrong nor report the request to the operators.
-pub(crate) fn replacement(written: &[u8]) -> Option<Vec<u8>> {
+pub(crate) fn library_response_replacement(written: &[u8]) -> Option<Vec<u8>> {
     if !written.starts_with(b"HTTP/1.") {
         return None;
     }
--- a/components/listen/src/io.rs
+++ b/components/listen/src/io.rs
@@ -132,7 +132,7 @@
         let this = self.get_mut();
         let from_handler = this.connection.is_active() || this.connection.served() > this.flushed;
         if this.replacement.is_none() && !from_handler {
-            this.replacement = error::replacement(buf);
+            this.replacement = error::library_response_replacement(buf);
         }
         if let Some(rest) = &mut this.replacement {
             while !rest.is_empty() {
--- a/components/settings/src/leaf.rs
+++ b/components/settings/src/leaf.rs
@@ -56,7 +56,7 @@
     }
 
     /// Returns the kind with a name.
-    pub fn from_word(word: &str) -> Option<Kind> {
+    pub fn from_name(word: &str) -> Option<Kind> {
         Kind::ALL.into_iter().find(|kind| kind.as_str() == word)
     }
 }
--- a/components/settings/src/part.rs
+++ b/components/settings/src/part.rs
@@ -157,7 +157,7 @@
         let mut branches = vec![];
         for (key, value) in table {
             let line = self.line_at(key.span().start);
-            let Some(kind) = Kind::from_word(key.get_ref()) else {
+            let Some(kind) = Kind::from_name(key.get_ref()) else {
                 let near = nearest_match(key.get_ref(), Kind::ALL.map(Kind::as_str));
                 self.add_fault(line, key.get_ref().to_string(), Cause::UnknownKind(near));
                 continue;
--- a/components/settings/src/tree.rs
+++ b/components/settings/src/tree.rs
@@ -54,7 +54,7 @@
     /// Returns the branch with a path such as `class.booking`.
     pub fn branch_at(&self, path: &str) -> Option<&Rc<Branch>> {
         let (kind, name) = path.split_once('.').unwrap_or((path, ""));
-        self.branch(Kind::from_word(kind)?, name)
+        self.branch(Kind::from_name(kind)?, name)
     }
 
     /// Returns a branch and the branches that it inherits from, nearest first. References to branches
--- a/src/cmd/explain.rs
+++ b/src/cmd/explain.rs
@@ -32,7 +32,7 @@
     let effective = trees::load(tree)?;
     let kinds = match kind {
         None => Kind::ALL.to_vec(),
-        Some(word) => vec![Kind::from_word(word).with_context(|| {
+        Some(word) => vec![Kind::from_name(word).with_context(|| {
             let words = Kind::ALL.map(Kind::as_str).join(", ");
             format!("no kind of branch is named `{word}`; kinds are {words}")
         })?],
@@ -62,7 +62,7 @@
 
 /// Returns the error for a path without a branch, with the names of branches of its kind.
 fn not_found_message(effective: &Effective, path: &str) -> String {
-    let kind = path.split('.').next().and_then(Kind::from_word);
+    let kind = path.split('.').next().and_then(Kind::from_name);
     let known = kind.into_iter().flat_map(|kind| effective.branches(kind));
     let known: Vec<_> = known.map(|branch| branch.path()).take(MAX_SUGGESTIONS).collect();
     let hint = match known.is_empty() {
