--- a/components/forward/src/follow.rs
+++ b/components/forward/src/follow.rs
@@ -36,7 +36,8 @@
 /// Longest pause after all sources have failed, so that a store which is back is found within half a second.
 const MAX_PAUSE: Duration = Duration::from_millis(500);
 
-/// Starts the tasks; they end with the node.
+/// Starts a task that reads settings and servers from the sources, and for each other seed one that
+/// exchanges work with it. They end with the node.
 pub(crate) fn start<A: Adapter>(state: &Rc<State<A>>) {
     actix_rt::spawn(follow_sources(Rc::downgrade(state)));
     for seed in state.other_seeds() {
@@ -81,7 +82,7 @@
                 sources.set_delegate(state.delegates.pick_candidate());
                 if sources.record_failure(classify_failure(&cause), context, state.clock.now()) {
                     failed_rounds += 1;
-                    let pause = if sources.is_starting() {
+                    let pause = if sources.awaits_first_answer() {
                         jittered(STARTUP_PAUSE)
                     } else {
                         pause_after(failed_rounds)
--- a/components/forward/src/serve.rs
+++ b/components/forward/src/serve.rs
@@ -127,7 +127,7 @@
         };
         let sending = waiting.send();
         let error = match active
-            .attempt(sending.attempt(), &server, active.received.call.last_event_id)
+            .send_attempt(sending.attempt(), &server, active.received.call.last_event_id)
             .await
         {
             Ok(reply) => return active.relay(sending, reply),
@@ -136,7 +136,7 @@
         active.record_failure(sending.attempt(), &server, &error);
         let again = active.submission.end_attempt(error.ending());
         let timed_out = matches!(error, AttemptError::TimedOut);
-        let unsent = error.unsent();
+        let unsent = error.not_run_proof();
         if let AttemptError::ServerError(whole) = error {
             active.error_reply = Some(*whole);
         }
@@ -171,7 +171,7 @@
                     self.stats.sent = Some(self.state.elapsed_since(self.received.arrived));
                     self.stats.sends += 1;
                     self.sent = self.state.clock.now();
-                    self.stats.expected = self.submission.expected();
+                    self.stats.expected = self.submission.estimates();
                     return Ok(server);
                 }
                 None if self.submission.end_attempt(Ending::Unreached) => {}
@@ -182,7 +182,7 @@
 
     /// Sends attempt `number` and waits for the start of its answer until the request's time is over.
     /// An attempt that another one may follow is abandoned earlier, after [`STALL_TARGETS`].
-    pub(crate) async fn attempt(
+    pub(crate) async fn send_attempt(
         &mut self,
         number: u32,
         server: &Entry,
--- a/components/router/src/relay.rs
+++ b/components/router/src/relay.rs
@@ -49,7 +49,7 @@
 }
 
 impl Payload {
-    pub(crate) fn call(&self, id: ids::Request, attempt: u32, server: &Server) -> Call {
+    pub(crate) fn build_call(&self, id: ids::Request, attempt: u32, server: &Server) -> Call {
         Call {
             id,
             attempt,
@@ -118,10 +118,10 @@
         log::warn!(request:% = id, attempt = attempt, cause = cause.as_str(); "attempt failed");
     }
 
-    /// Proof that nothing of the request was sent, if the error is one.
-    pub(crate) fn unsent(&self) -> Option<Unsent> {
+    /// Proof that the attempt didn't run, if there is one.
+    pub(crate) fn not_run_proof(&self) -> Option<Unsent> {
         match self {
-            AttemptError::Failure(failure) if failure.was_not_executed() => Some(Unsent::vouch()),
+            AttemptError::Failure(failure) if failure.was_not_executed() => Some(Unsent::assume()),
             _ => None,
         }
     }
@@ -205,7 +205,7 @@
         };
         state.metrics.count_failed_attempt(&payload.class.name);
         let requeued = submission.end_attempt(error.ending());
-        waiting = match sending.fail(error.unsent(), payload.repeatable()) {
+        waiting = match sending.fail(error.not_run_proof(), payload.repeatable()) {
             Ok(waiting) => waiting,
             Err(outcome) => return answer_unknown(&state, &payload, id, outcome),
         };
@@ -227,21 +227,21 @@
     sending: Sending,
     server: &Server,
 ) -> (Sending, Result<ReadyReply, AttemptError>) {
-    let call = payload.call(sending.id(), sending.attempt(), server);
+    let call = payload.build_call(sending.id(), sending.attempt(), server);
     let error = match make_attempt(submission, payload, &call).await {
         Ok(reply) => return (sending, Ok(reply)),
         Err(error) => error,
     };
     error.record(submission, call.id, call.attempt);
     let proof = Repeatable::if_idempotent(server.keyed && call.idempotency_key.is_some());
-    if payload.class.idempotent || proof.is_none() || error.unsent().is_some() {
+    if payload.class.idempotent || proof.is_none() || error.not_run_proof().is_some() {
         return (sending, Err(error));
     }
     let sending = match sending.fail(None, proof) {
         Ok(waiting) => waiting.send(),
         Err(_) => unreachable!("a proof was given"),
     };
-    let call = payload.call(sending.id(), sending.attempt(), server);
+    let call = payload.build_call(sending.id(), sending.attempt(), server);
     let ended = make_attempt(submission, payload, &call).await;
     if let Err(error) = &ended {
         error.record(submission, call.id, call.attempt);
